--- a/src/decision/relay/admission.rs
+++ b/src/decision/relay/admission.rs
@@ -7,23 +7,23 @@
 use std::time::{Duration, Instant};
 
 /// Part of the latency objective that the work ahead of a new request may take.
-const NEW_OBJECTIVE_PART: f64 = 0.85;
+const FIRST_TRY_OBJECTIVE_FRACTION: f64 = 0.85;
 
 /// Part of the remaining time that the work ahead of any request may take.
-const REMAINING_PART: f64 = 0.6;
+const REMAINING_TIME_FRACTION: f64 = 0.6;
 
 /// Part of the time at first from which a request counts as one that comes back.
-const RETURNED_PART: f64 = 0.95;
+const RETRY_REMAINING_FRACTION: f64 = 0.95;
 
 /// Milliseconds of work ahead beyond which no request is sent: callers leave a stream that has not
 /// begun after two seconds.
-const LONGEST_EXPECTED_MS: f64 = 1_500.0;
+const MAX_EXPECTED_MS: f64 = 1_500.0;
 
 /// Longest time after which a refused caller is asked to come back.
-const LONGEST_RETRY_MS: f64 = 1_500.0;
+const MAX_RETRY_DELAY_MS: f64 = 1_500.0;
 
 /// Priorities by which a request that comes back stands behind new ones.
-const RETURNED_PRIORITY_STEP: u8 = 1;
+const RETRY_PRIORITY_STEP: u8 = 1;
 
 /// Request as far as it decides the admission.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -31,39 +31,40 @@
     /// Milliseconds that the caller waits from now on.
     pub remaining_ms: f64,
     /// Milliseconds that callers of the route wait at first.
-    pub patience_ms: f64,
+    pub timeout_ms: f64,
     /// Milliseconds within which the answer should begin.
-    pub objective_ms: f64,
+    pub latency_objective_ms: f64,
     /// Whether a server has run it in part, so that refusing it would waste that.
-    pub has_run: bool,
+    pub has_started: bool,
 }
 
 impl AdmissionRequest {
     /// Whether the caller has used some of its time before, at another node or try.
-    pub fn has_returned(&self) -> bool {
-        self.remaining_ms < self.patience_ms * RETURNED_PART
+    pub fn is_retry(&self) -> bool {
+        self.remaining_ms < self.timeout_ms * RETRY_REMAINING_FRACTION
     }
 
     /// Returns the priority with which servers are to take the request.
-    pub fn priority(&self, priority: u8) -> u8 {
-        if self.has_returned() { priority.saturating_add(RETURNED_PRIORITY_STEP) } else { priority }
+    pub fn server_priority(&self, priority: u8) -> u8 {
+        if self.is_retry() { priority.saturating_add(RETRY_PRIORITY_STEP) } else { priority }
     }
 
     /// Returns when the caller should come back if the server that would begin in `expected_ms`
     /// must not get the request, none if it may.
-    pub fn refused_until(&self, expected_ms: f64, now: Instant) -> Option<Instant> {
-        if self.has_run {
+    pub fn refusal_retry_at(&self, expected_ms: f64, now: Instant) -> Option<Instant> {
+        if self.has_started {
             return None;
         }
-        let limit_ms = if self.has_returned() {
-            (self.remaining_ms * REMAINING_PART).min(LONGEST_EXPECTED_MS)
+        let limit_ms = if self.is_retry() {
+            (self.remaining_ms * REMAINING_TIME_FRACTION).min(MAX_EXPECTED_MS)
         } else {
-            (self.objective_ms * NEW_OBJECTIVE_PART).min(self.remaining_ms * REMAINING_PART)
+            (self.latency_objective_ms * FIRST_TRY_OBJECTIVE_FRACTION)
+                .min(self.remaining_ms * REMAINING_TIME_FRACTION)
         };
         if expected_ms <= limit_ms {
             return None;
         }
-        let excess_ms = (expected_ms - limit_ms / 2.0).min(LONGEST_RETRY_MS);
+        let excess_ms = (expected_ms - limit_ms / 2.0).min(MAX_RETRY_DELAY_MS);
         Some(now + Duration::from_secs_f64(excess_ms / 1_000.0))
     }
 }
--- a/src/decision/relay/choose.rs
+++ b/src/decision/relay/choose.rs
@@ -16,19 +16,19 @@
 use strum::{Display, IntoStaticStr};
 
 /// Cost of a server in another availability zone: the way there and back.
-const OTHER_ZONE_COST_MS: f64 = 8.0;
+const CROSS_ZONE_COST_MS: f64 = 8.0;
 
 /// Milliseconds that a plain call occupies a slot, as cost of a queue.
 const PLAIN_CALL_MS: f64 = 60.0;
 
 /// Requests for each slot that a plain server takes before it rejects some.
-const PLAIN_QUEUE_FACTOR: u32 = 4;
+const MAX_PLAIN_REQUESTS_PER_SLOT: u32 = 4;
 
 /// Time after which a server with older weights is not used any more.
-pub(super) const OLD_WEIGHTS_LIMIT: Duration = Duration::from_millis(6_000);
+pub(super) const MAX_OUTDATED_WEIGHTS_PERIOD: Duration = Duration::from_millis(6_000);
 
 /// Wait before a caller comes back if no server is known.
-const NO_SERVER_RETRY: Duration = Duration::from_millis(700);
+const NO_SERVER_RETRY_DELAY: Duration = Duration::from_millis(700);
 
 /// Server chosen for a request.
 #[derive(Clone, Debug, PartialEq)]
@@ -97,13 +97,13 @@
 
 /// What decides the choice beside the servers.
 #[derive(Clone, Copy, Debug)]
-pub struct Wanted<'a> {
+pub struct ServerQuery<'a> {
     /// Service.
     pub service: &'a ServiceId,
     /// Prompt, none for a plain call.
     pub prompt: Option<&'a Prompt>,
     /// Isolated workspace, whose cache entries no other one may use.
-    pub wall: Option<&'a str>,
+    pub isolated_workspace: Option<&'a str>,
     /// Priority, 0 is the highest.
     pub priority: u8,
     /// Servers that had the request already.
@@ -116,31 +116,31 @@
     /// # Errors
     ///
     /// No server can take the request now; the error says when one may.
-    pub fn choose(&self, wanted: Wanted<'_>, now: Instant) -> Result<Choice, Unavailable> {
+    pub fn choose(&self, query: ServerQuery<'_>, now: Instant) -> Result<Choice, Unavailable> {
         let mut candidates: Vec<&Server> = self
             .servers
             .values()
-            .filter(|server| server.entry.service == *wanted.service)
-            .filter(|server| server.entry.state == ServerState::Ready && !server.is_gone(now))
-            .filter(|server| !wanted.tried.contains(&server.entry.id))
+            .filter(|server| server.entry.service == *query.service)
+            .filter(|server| server.entry.state == ServerState::Ready && !server.has_expired(now))
+            .filter(|server| !query.tried.contains(&server.entry.id))
             .collect();
         if candidates.is_empty() {
-            return Err(unavailable(UnavailableReason::NoServer, now + NO_SERVER_RETRY));
+            return Err(unavailable(UnavailableReason::NoServer, now + NO_SERVER_RETRY_DELAY));
         }
-        keep_preferred(&mut candidates, |server| !server.is_vanished());
-        if let Some(prompt) = wanted.prompt {
+        retain_preferred_if_any(&mut candidates, |server| !server.is_entry_missing());
+        if let Some(prompt) = query.prompt {
             candidates.retain(|server| self.has_usable_weights(server, &prompt.model, now));
             if candidates.is_empty() {
-                let retry_at = now + NO_SERVER_RETRY;
+                let retry_at = now + NO_SERVER_RETRY_DELAY;
                 return Err(unavailable(UnavailableReason::OutdatedWeights, retry_at));
             }
         }
-        drop_barred(&mut candidates, |server| server.closed_until(now))
+        retain_available(&mut candidates, |server| server.closed_until(now))
             .map_err(|until| unavailable(UnavailableReason::Closed, until))?;
-        drop_barred(&mut candidates, |server| server.suspended_until(now))
+        retain_available(&mut candidates, |server| server.suspended_until(now))
             .map_err(|until| unavailable(UnavailableReason::Unreachable, until))?;
-        match wanted.prompt {
-            Some(prompt) => Ok(self.choose_engine(&candidates, prompt, wanted, now)),
+        match query.prompt {
+            Some(prompt) => Ok(self.choose_engine(&candidates, prompt, query, now)),
             None => self.choose_plain(&candidates, now),
         }
     }
@@ -148,7 +148,7 @@
     fn has_usable_weights(&self, server: &Server, model: &ModelId, now: Instant) -> bool {
         let Some(held) = server.weights.get(model) else { return false };
         let since = self.targets.get(model).and_then(|target| target.outdated_since(*held));
-        since.is_none_or(|since| now < since + OLD_WEIGHTS_LIMIT)
+        since.is_none_or(|since| now < since + MAX_OUTDATED_WEIGHTS_PERIOD)
     }
 
     fn choose_plain(&self, candidates: &[&Server], now: Instant) -> Result<Choice, Unavailable> {
@@ -156,7 +156,7 @@
         for server in candidates {
             let requests = server.total_load(now).requests;
             let slots = server.entry.slots.max(1);
-            if requests >= slots.saturating_mul(PLAIN_QUEUE_FACTOR) {
+            if requests >= slots.saturating_mul(MAX_PLAIN_REQUESTS_PER_SLOT) {
                 continue;
             }
             let waiting = requests.saturating_sub(slots - 1);
@@ -169,30 +169,30 @@
             costs.push((cost_ms, *server));
         }
         let Some((best, runner_up)) = two_cheapest(&costs) else {
-            let call = Duration::from_millis(PLAIN_CALL_MS as u64) * PLAIN_QUEUE_FACTOR;
+            let call = Duration::from_millis(PLAIN_CALL_MS as u64) * MAX_PLAIN_REQUESTS_PER_SLOT;
             return Err(unavailable(UnavailableReason::Closed, now + call));
         };
         let load = ServerLoad { requests: 1, ..ServerLoad::default() };
         let slots = best.1.entry.slots.max(1);
         let waiting = best.1.total_load(now).requests.saturating_sub(slots - 1);
         let expected_ms = f64::from(waiting) / f64::from(slots) * PLAIN_CALL_MS;
-        Ok(choice(best, expected_ms, runner_up, None, load))
+        Ok(build_choice(best, expected_ms, runner_up, None, load))
     }
 
     pub(super) fn zone_cost_ms(&self, server: &Server) -> f64 {
         let is_near = server.entry.availability_zone == self.availability_zone;
-        if is_near { 0.0 } else { OTHER_ZONE_COST_MS }
+        if is_near { 0.0 } else { CROSS_ZONE_COST_MS }
     }
 }
 
 /// Server with its cost in milliseconds.
-pub(super) type Costed<'a> = (f64, &'a Server);
+pub(super) type CostedServer<'a> = (f64, &'a Server);
 
 /// Returns the choice of `best`.
-pub(super) fn choice(
-    best: Costed<'_>,
+pub(super) fn build_choice(
+    best: CostedServer<'_>,
     expected_ms: f64,
-    runner_up: Option<Costed<'_>>,
+    runner_up: Option<CostedServer<'_>>,
     prompt: Option<PromptChoice>,
     load: ServerLoad,
 ) -> Choice {
@@ -214,14 +214,14 @@
 }
 
 /// Drops the servers that are not preferred, unless that would drop all.
-fn keep_preferred(candidates: &mut Vec<&Server>, is_preferred: impl Fn(&Server) -> bool) {
+fn retain_preferred_if_any(candidates: &mut Vec<&Server>, is_preferred: impl Fn(&Server) -> bool) {
     if candidates.iter().any(|server| is_preferred(server)) {
         candidates.retain(|server| is_preferred(server));
     }
 }
 
 /// Drops the servers that are barred; the error says when the first of them is free if all are.
-fn drop_barred(
+fn retain_available(
     candidates: &mut Vec<&Server>,
     barred_until: impl Fn(&Server) -> Option<Instant>,
 ) -> Result<(), Instant> {
@@ -240,9 +240,11 @@
 }
 
 /// Returns the cheapest and the next server.
-pub(super) fn two_cheapest<'a>(costs: &[Costed<'a>]) -> Option<(Costed<'a>, Option<Costed<'a>>)> {
-    let mut best: Option<Costed<'a>> = None;
-    let mut second: Option<Costed<'a>> = None;
+pub(super) fn two_cheapest<'a>(
+    costs: &[CostedServer<'a>],
+) -> Option<(CostedServer<'a>, Option<CostedServer<'a>>)> {
+    let mut best: Option<CostedServer<'a>> = None;
+    let mut second: Option<CostedServer<'a>> = None;
     for &costed in costs {
         if best.is_none_or(|(cost_ms, _)| costed.0 < cost_ms) {
             second = best;
--- a/src/decision/relay/configuration.rs
+++ b/src/decision/relay/configuration.rs
@@ -10,7 +10,7 @@
 /// Whether a request may be run again.
 #[derive(Clone, Copy, Debug, Display, Eq, PartialEq)]
 #[strum(serialize_all = "snake_case")]
-pub enum Repetition {
+pub enum RetrySafety {
     /// Idempotent: may run any number of times.
     Idempotent,
     /// Runs at most once.
@@ -21,9 +21,9 @@
     ResumableStream,
 }
 
-impl Repetition {
+impl RetrySafety {
     /// Whether a request whose outcome is unknown may be sent again.
-    pub fn is_repeatable(self) -> bool {
+    pub fn is_retryable(self) -> bool {
         matches!(self, Self::Idempotent | Self::ResumableStream)
     }
 
@@ -52,7 +52,7 @@
     /// Prefix of the path; begins and ends with a slash.
     pub path_prefix: SmolStr,
     /// Whether requests may be run again.
-    pub repetition: Repetition,
+    pub retry_safety: RetrySafety,
     /// Milliseconds after which a request gets a final answer.
     pub timeout_ms: u64,
     /// Milliseconds within which a request should be answered.
--- a/src/decision/relay/long_tokens.rs
+++ b/src/decision/relay/decode_rate.rs
@@ -12,13 +12,13 @@
 
 /// Rate of output tokens.
 #[derive(Clone, Debug, Default)]
-pub struct LongTokens {
+pub struct DecodeRate {
     decayed_tokens: f64,
     updated_at: Option<Instant>,
     partners: BTreeMap<InstanceId, (f64, Instant)>,
 }
 
-impl LongTokens {
+impl DecodeRate {
     /// Counts the output tokens of a long run that this node sends.
     pub fn count(&mut self, tokens: u32, now: Instant) {
         self.decayed_tokens = self.decayed(now) + f64::from(tokens);
@@ -26,33 +26,34 @@
     }
 
     /// Takes in a partner's rate.
-    pub fn set_partner(&mut self, partner: InstanceId, per_s: f64, now: Instant) {
-        self.partners.insert(partner, (per_s, now + PARTNER_LIFETIME));
+    pub fn set_partner_rate(&mut self, partner: InstanceId, tokens_per_s: f64, now: Instant) {
+        self.partners.insert(partner, (tokens_per_s, now + PARTNER_LIFETIME));
         self.partners.retain(|_, (_, until)| now < *until);
     }
 
     /// Returns this node's tokens a second.
-    pub fn own_per_s(&self, now: Instant) -> f64 {
+    pub fn local_tokens_per_s(&self, now: Instant) -> f64 {
         self.decayed(now) / WINDOW.as_secs_f64()
     }
 
     /// Drops a partner's rate.
-    pub fn forget_partner(&mut self, partner: &InstanceId) {
+    pub fn remove_partner(&mut self, partner: &InstanceId) {
         self.partners.remove(partner);
     }
 
     /// Returns the tokens a second of all nodes.
-    pub fn per_s(&self, now: Instant) -> f64 {
-        self.per_s_without(None, now)
+    pub fn tokens_per_s(&self, now: Instant) -> f64 {
+        self.tokens_per_s_without(None, now)
     }
 
     /// Returns the tokens a second of this node and of what all partners but `except` told.
-    pub fn per_s_without(&self, except: Option<&InstanceId>, now: Instant) -> f64 {
-        let told = self
+    pub fn tokens_per_s_without(&self, except: Option<&InstanceId>, now: Instant) -> f64 {
+        let others = self
             .partners
             .iter()
             .filter(|(partner, (_, until))| now < *until && Some(*partner) != except);
-        self.own_per_s(now) + told.map(|(_, (per_s, _))| per_s).sum::<f64>()
+        self.local_tokens_per_s(now)
+            + others.map(|(_, (tokens_per_s, _))| tokens_per_s).sum::<f64>()
     }
 
     fn decayed(&self, now: Instant) -> f64 {
--- a/src/decision/relay/event_splitter.rs
+++ b/src/decision/relay/event_splitter.rs
@@ -5,7 +5,7 @@
 use smol_str::SmolStr;
 
 /// Bytes of one event at most; a longer one is no event.
-const EVENT_LIMIT_BYTES: usize = 1024 * 1024;
+const MAX_EVENT_BYTES: usize = 1024 * 1024;
 
 /// The server sent an event that exceeds the limit.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
@@ -28,7 +28,7 @@
         let searched = self.partial.len().saturating_sub(3);
         self.partial.extend_from_slice(data);
         let Some(end) = last_event_end(&self.partial[searched..]) else {
-            let is_bounded = self.partial.len() <= EVENT_LIMIT_BYTES;
+            let is_bounded = self.partial.len() <= MAX_EVENT_BYTES;
             return if is_bounded { Ok(Bytes::new()) } else { Err(EventTooLong) };
         };
         let whole = self.partial.split_to(searched + end).freeze();
@@ -39,7 +39,7 @@
     }
 
     /// Returns what follows the last whole event.
-    pub fn take_rest(&mut self) -> Bytes {
+    pub fn take_partial(&mut self) -> Bytes {
         self.partial.split().freeze()
     }
 
--- a/src/decision/relay/fleet.rs
+++ b/src/decision/relay/fleet.rs
@@ -1,46 +1,46 @@
 //! All backend servers as a node knows them.
 
-use super::choose::OLD_WEIGHTS_LIMIT;
+use super::choose::MAX_OUTDATED_WEIGHTS_PERIOD;
+use super::decode_rate::DecodeRate;
 use super::health::SilenceChange;
-use super::kept_prefixes::KeptPrefixes;
-use super::long_tokens::LongTokens;
-use super::server::{Server, ServerEntry, ServerLoad, ServerNews, UnreadTokens};
+use super::prefix_index::PrefixIndex;
+use super::server::{Server, ServerEntry, ServerLoad, ServerUpdate, UnreadTokens};
 use super::store_link::StoreLink;
 use crate::types::{AvailabilityZone, InstanceId, ModelId, ServerId, ServiceId, WeightsRevision};
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
 /// Revisions of a model's weights that are remembered; servers are never that far behind.
-const MOST_REVISIONS: usize = 16;
+const MAX_REVISIONS: usize = 16;
 
 /// Time for which servers with older weights are used if it is unknown when newer ones were named.
-const UNKNOWN_AGE_LIMIT: Duration = Duration::from_millis(3_000);
+const MAX_UNKNOWN_AGE_PERIOD: Duration = Duration::from_millis(3_000);
 
 /// Weights of a model that the servers are to have.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct WeightsTarget {
     /// Revisions with the times at which this node learned of them, oldest first.
-    named: Vec<(WeightsRevision, Instant)>,
+    revisions: Vec<(WeightsRevision, Instant)>,
 }
 
 impl WeightsTarget {
     /// Returns the newest revision, 0 if none was named.
     pub fn revision(&self) -> WeightsRevision {
-        self.named.last().map_or(0, |(revision, _)| *revision)
+        self.revisions.last().map_or(0, |(revision, _)| *revision)
     }
 
     /// Returns since when a server with `held` has been outdated, none if it is not.
     pub fn outdated_since(&self, held: WeightsRevision) -> Option<Instant> {
-        self.named.iter().find(|(revision, _)| *revision > held).map(|(_, known_at)| *known_at)
+        self.revisions.iter().find(|(revision, _)| *revision > held).map(|(_, known_at)| *known_at)
     }
 
-    fn name(&mut self, revision: WeightsRevision, now: Instant) -> bool {
+    fn add(&mut self, revision: WeightsRevision, now: Instant) -> bool {
         if revision <= self.revision() {
             return false;
         }
-        self.named.push((revision, now));
-        if self.named.len() > MOST_REVISIONS {
-            self.named.remove(0);
+        self.revisions.push((revision, now));
+        if self.revisions.len() > MAX_REVISIONS {
+            self.revisions.remove(0);
         }
         true
     }
@@ -54,9 +54,9 @@
     pub(super) targets: BTreeMap<ModelId, WeightsTarget>,
     pub(super) kv_capacity_tokens: BTreeMap<ServiceId, u64>,
     /// Prefixes that were read lately.
-    pub kept: KeptPrefixes,
+    pub prefixes: PrefixIndex,
     /// Rate of the output tokens of long runs.
-    pub long_tokens: LongTokens,
+    pub decode_rate: DecodeRate,
     /// Link of the store of kept KV cache, while the store answers.
     pub kv_store: Option<StoreLink>,
 }
@@ -69,8 +69,8 @@
             servers: BTreeMap::new(),
             targets: BTreeMap::new(),
             kv_capacity_tokens: BTreeMap::new(),
-            kept: KeptPrefixes::default(),
-            long_tokens: LongTokens::default(),
+            prefixes: PrefixIndex::default(),
+            decode_rate: DecodeRate::default(),
             kv_store: None,
         }
     }
@@ -88,23 +88,23 @@
     /// Takes in that a server's entry vanished.
     pub fn remove_entry(&mut self, id: &ServerId, now: Instant) {
         let Some(server) = self.servers.get_mut(id) else { return };
-        if !server.vanish(now) {
+        if !server.mark_entry_missing(now) {
             self.servers.remove(id);
         }
     }
 
     /// Drops servers whose entries vanished and did not come back.
-    pub fn drop_gone(&mut self, now: Instant) -> Vec<ServerId> {
-        let gone: Vec<ServerId> = self
+    pub fn remove_expired(&mut self, now: Instant) -> Vec<ServerId> {
+        let expired: Vec<ServerId> = self
             .servers
             .values()
-            .filter(|server| server.is_gone(now))
+            .filter(|server| server.has_expired(now))
             .map(|s| s.entry.id.clone())
             .collect();
-        gone.iter().for_each(|id| {
+        expired.iter().for_each(|id| {
             self.servers.remove(id);
         });
-        gone
+        expired
     }
 
     /// Sets the memory of a service's engines.
@@ -114,20 +114,20 @@
 
     /// Takes in that `revision` of a model's weights was named just now; returns whether it is news.
     pub fn set_target(&mut self, model: ModelId, revision: WeightsRevision, now: Instant) -> bool {
-        self.targets.entry(model).or_default().name(revision, now)
+        self.targets.entry(model).or_default().add(revision, now)
     }
 
     /// Takes in a `revision` that was named some unknown time ago; servers with older weights are
     /// used for a short time only, since they may have been outdated for long.
-    pub fn set_earlier_target(
+    pub fn set_target_of_unknown_age(
         &mut self,
         model: ModelId,
         revision: WeightsRevision,
         now: Instant,
     ) -> bool {
-        let allowance = OLD_WEIGHTS_LIMIT.saturating_sub(UNKNOWN_AGE_LIMIT);
+        let allowance = MAX_OUTDATED_WEIGHTS_PERIOD.saturating_sub(MAX_UNKNOWN_AGE_PERIOD);
         let named_at = now.checked_sub(allowance).unwrap_or(now);
-        self.targets.entry(model).or_default().name(revision, named_at)
+        self.targets.entry(model).or_default().add(revision, named_at)
     }
 
     /// Returns the weights that the servers are to have.
@@ -159,7 +159,7 @@
 
     /// Takes in that a server does not hold `believed`. If that is outdated it probably holds the
     /// newest; otherwise its next report tells.
-    pub fn note_other_weights(
+    pub fn record_weights_mismatch(
         &mut self,
         id: &ServerId,
         model: &ModelId,
@@ -177,63 +177,63 @@
 
     /// Takes in what a partner tells of the servers; at those not named it has nothing. Returns the
     /// servers that fell silent or were heard again by that.
-    pub fn set_told(
+    pub fn apply_updates(
         &mut self,
         partner: &InstanceId,
-        news: &[ServerNews],
+        news: &[ServerUpdate],
         now: Instant,
     ) -> Vec<(ServerId, SilenceChange)> {
-        let told: BTreeMap<&ServerId, &ServerNews> =
+        let told: BTreeMap<&ServerId, &ServerUpdate> =
             news.iter().map(|news| (&news.server, news)).collect();
-        let none = ServerNews::default();
+        let empty = ServerUpdate::default();
         let mut changes = Vec::new();
         for server in self.servers.values_mut() {
-            let news = told.get(&server.entry.id).copied().unwrap_or(&none);
-            let change = server.set_told(partner.clone(), news, now);
+            let news = told.get(&server.entry.id).copied().unwrap_or(&empty);
+            let change = server.apply_update(partner.clone(), news, now);
             changes.extend(change.map(|change| (server.entry.id.clone(), change)));
         }
         changes
     }
 
     /// Drops what a partner told, which other partners tell from now on.
-    pub fn forget_partner(&mut self, partner: &InstanceId) {
-        self.servers.values_mut().for_each(|server| server.forget_partner(partner));
-        self.long_tokens.forget_partner(partner);
+    pub fn remove_partner(&mut self, partner: &InstanceId) {
+        self.servers.values_mut().for_each(|server| server.remove_partner(partner));
+        self.decode_rate.remove_partner(partner);
     }
 
     /// Returns what this node and all partners but `except` know of the servers in use.
-    pub fn news_without(&self, except: &InstanceId, now: Instant) -> Vec<ServerNews> {
-        let news = self.servers.values().map(|server| server.news_without(Some(except), now));
+    pub fn updates_without(&self, except: &InstanceId, now: Instant) -> Vec<ServerUpdate> {
+        let news = self.servers.values().map(|server| server.update_without(Some(except), now));
         news.filter(|news| news.load.requests > 0).collect()
     }
 
     /// Returns what this node alone knows of the servers that it uses.
-    pub fn own_news(&self, now: Instant) -> Vec<ServerNews> {
-        let used = self.servers.values().filter(|server| server.own_load.requests > 0);
-        used.map(|server| server.own_news(now)).collect()
+    pub fn local_updates(&self, now: Instant) -> Vec<ServerUpdate> {
+        let used = self.servers.values().filter(|server| server.local_load.requests > 0);
+        used.map(|server| server.local_update(now)).collect()
     }
 
     /// Takes in that a request with `load` is sent to a server.
-    pub fn begin(&mut self, id: &ServerId, attempt: u64, load: ServerLoad, now: Instant) {
+    pub fn begin_request(&mut self, id: &ServerId, attempt: u64, load: ServerLoad, now: Instant) {
         if let Some(server) = self.servers.get_mut(id) {
-            server.add_own(load, now);
-            server.health.note_sent(attempt, now);
+            server.add_local_load(load, now);
+            server.health.record_sent(attempt, now);
         }
     }
 
     /// Takes in that a server has read the prompt of a request.
-    pub fn note_first_answer(&mut self, id: &ServerId, attempt: u64, unread: UnreadTokens) {
+    pub fn finish_prefill(&mut self, id: &ServerId, attempt: u64, unread: UnreadTokens) {
         if let Some(server) = self.servers.get_mut(id) {
-            server.own_load.unread_tokens.subtract(unread);
-            server.health.note_ended(attempt);
+            server.local_load.unread_tokens.subtract(unread);
+            server.health.clear_unanswered(attempt);
         }
     }
 
     /// Takes in that a request with `load` has ended.
-    pub fn end(&mut self, id: &ServerId, attempt: u64, load: ServerLoad) {
+    pub fn end_request(&mut self, id: &ServerId, attempt: u64, load: ServerLoad) {
         if let Some(server) = self.servers.get_mut(id) {
-            server.own_load.subtract(load);
-            server.health.note_ended(attempt);
+            server.local_load.subtract(load);
+            server.health.clear_unanswered(attempt);
         }
     }
 }
--- a/src/decision/relay/health.rs
+++ b/src/decision/relay/health.rs
@@ -7,19 +7,19 @@
 
 /// Time without a sign of a server that owes answers after which it gets no new requests; several
 /// times the usual time to an answer.
-const SILENCE_LIMIT: Duration = Duration::from_millis(500);
+const MAX_SILENCE: Duration = Duration::from_millis(500);
 
 /// The same if other nodes heard the server meanwhile: its answers may not reach this node.
-const OWN_SILENCE_LIMIT: Duration = Duration::from_millis(1_500);
+const MAX_LOCAL_SILENCE: Duration = Duration::from_millis(1_500);
 
 /// First time for which a server that cannot be reached gets no new requests.
 const FIRST_SUSPENSION: Duration = Duration::from_millis(300);
 
 /// Doublings of the suspension at most.
-const MOST_DOUBLINGS: u32 = 3;
+const MAX_DOUBLINGS: u32 = 3;
 
 /// Weight of the newest outcome in the moving averages.
-const NEWEST_WEIGHT: f64 = 0.2;
+const SMOOTHING_FACTOR: f64 = 0.2;
 
 /// Time in which the averages fall to a third without news, so that a bad server is tried again.
 const DECAY_PERIOD: Duration = Duration::from_secs(4);
@@ -28,22 +28,22 @@
 const FAILURE_COST_MS: f64 = 600.0;
 
 /// Slowness in milliseconds that is within the usual spread of answers.
-const USUAL_SPREAD_MS: f64 = 60.0;
+const NORMAL_SLOWNESS_MS: f64 = 60.0;
 
 /// Signs of a server, at one node or at several.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
-pub struct ServerSigns {
+pub struct ServerContact {
     /// When it was heard last.
-    pub heard_at: Option<Instant>,
+    pub last_contact_at: Option<Instant>,
     /// Since when the oldest request is unanswered, none if all are answered.
-    pub awaited_since: Option<Instant>,
+    pub unanswered_since: Option<Instant>,
 }
 
-impl ServerSigns {
+impl ServerContact {
     /// Adds the signs at other nodes.
-    pub fn add(&mut self, other: Self) {
-        self.heard_at = self.heard_at.max(other.heard_at);
-        self.awaited_since = match (self.awaited_since, other.awaited_since) {
+    pub fn merge(&mut self, other: Self) {
+        self.last_contact_at = self.last_contact_at.max(other.last_contact_at);
+        self.unanswered_since = match (self.unanswered_since, other.unanswered_since) {
             (Some(own), Some(other)) => Some(own.min(other)),
             (own, other) => own.or(other),
         };
@@ -51,8 +51,10 @@
 
     /// Returns for how long the server has owed an answer and given no sign.
     fn silence(&self, now: Instant) -> Duration {
-        let Some(awaited_since) = self.awaited_since else { return Duration::ZERO };
-        let since = self.heard_at.map_or(awaited_since, |heard_at| heard_at.max(awaited_since));
+        let Some(unanswered_since) = self.unanswered_since else { return Duration::ZERO };
+        let since = self
+            .last_contact_at
+            .map_or(unanswered_since, |last_contact_at| last_contact_at.max(unanswered_since));
         now.saturating_duration_since(since)
     }
 }
@@ -72,46 +74,46 @@
 pub struct Health {
     suspended_until: Option<Instant>,
     suspensions: u32,
-    failure: f64,
-    slow_ms: f64,
+    failure_rate: f64,
+    slowness_ms: f64,
     updated_at: Option<Instant>,
-    heard_at: Option<Instant>,
-    awaited: BTreeMap<u64, Instant>,
+    last_contact_at: Option<Instant>,
+    unanswered: BTreeMap<u64, Instant>,
     /// When the server was found silent, none once it is heard again.
     silent_at: Option<Instant>,
 }
 
 impl Health {
     /// Takes in that request `attempt` was sent.
-    pub fn note_sent(&mut self, attempt: u64, now: Instant) {
-        self.awaited.insert(attempt, now);
+    pub fn record_sent(&mut self, attempt: u64, now: Instant) {
+        self.unanswered.insert(attempt, now);
     }
 
     /// Takes in a sign of life.
-    pub fn note_heard(&mut self, now: Instant) {
-        self.heard_at = Some(now);
+    pub fn record_contact(&mut self, now: Instant) {
+        self.last_contact_at = Some(now);
     }
 
     /// Takes in that nothing more is awaited for `attempt`.
-    pub fn note_ended(&mut self, attempt: u64) {
-        self.awaited.remove(&attempt);
+    pub fn clear_unanswered(&mut self, attempt: u64) {
+        self.unanswered.remove(&attempt);
     }
 
     /// Takes in the outcome of an attempt and by how much it was slower than expected.
-    pub fn note_outcome(&mut self, succeeded: bool, slower_by_ms: f64, now: Instant) {
+    pub fn record_outcome(&mut self, succeeded: bool, slower_by_ms: f64, now: Instant) {
         self.decay(now);
         if succeeded {
             self.suspensions = 0;
             self.suspended_until = None;
-            self.slow_ms += NEWEST_WEIGHT * (slower_by_ms.max(0.0) - self.slow_ms);
+            self.slowness_ms += SMOOTHING_FACTOR * (slower_by_ms.max(0.0) - self.slowness_ms);
         }
         let failure = if succeeded { 0.0 } else { 1.0 };
-        self.failure += NEWEST_WEIGHT * (failure - self.failure);
+        self.failure_rate += SMOOTHING_FACTOR * (failure - self.failure_rate);
     }
 
     /// Takes in that the server could not be reached; returns until when it gets no new requests.
-    pub fn note_unreachable(&mut self, now: Instant) -> Instant {
-        let period = FIRST_SUSPENSION * 2_u32.pow(self.suspensions.min(MOST_DOUBLINGS));
+    pub fn record_unreachable(&mut self, now: Instant) -> Instant {
+        let period = FIRST_SUSPENSION * 2_u32.pow(self.suspensions.min(MAX_DOUBLINGS));
         if self.suspended_until.is_none_or(|until| until <= now) {
             self.suspensions += 1;
             self.suspended_until = Some(now + period);
@@ -125,33 +127,33 @@
     }
 
     /// Returns the signs of the server at this node.
-    pub fn signs(&self) -> ServerSigns {
-        let awaited_since = self.awaited.values().min().copied();
-        ServerSigns { heard_at: self.heard_at, awaited_since }
+    pub fn contact(&self) -> ServerContact {
+        let unanswered_since = self.unanswered.values().min().copied();
+        ServerContact { last_contact_at: self.last_contact_at, unanswered_since }
     }
 
     /// Whether the server owes answers and has given no sign for longer than usual; `others` are its
     /// signs at other nodes.
-    pub fn is_silent(&self, others: ServerSigns, now: Instant) -> bool {
-        let own = self.signs();
+    pub fn is_silent(&self, others: ServerContact, now: Instant) -> bool {
+        let own = self.contact();
         let mut all = own;
-        all.add(others);
-        all.silence(now) > SILENCE_LIMIT || own.silence(now) > OWN_SILENCE_LIMIT
+        all.merge(others);
+        all.silence(now) > MAX_SILENCE || own.silence(now) > MAX_LOCAL_SILENCE
     }
 
     /// Takes in whether the server is silent; a silent one counts as failing until it is heard.
     /// Returns what changed.
-    pub fn note_silence(&mut self, others: ServerSigns, now: Instant) -> Option<SilenceChange> {
-        let heard_at = self.heard_at.max(others.heard_at);
+    pub fn update_silence(&mut self, others: ServerContact, now: Instant) -> Option<SilenceChange> {
+        let last_contact_at = self.last_contact_at.max(others.last_contact_at);
         if self.is_silent(others, now) {
             self.decay(now);
-            self.failure = 1.0;
+            self.failure_rate = 1.0;
             let was_silent = self.silent_at.replace(now).is_some();
             return (!was_silent).then_some(SilenceChange::Silent);
         }
-        if self.silent_at.is_some_and(|silent_at| heard_at > Some(silent_at)) {
+        if self.silent_at.is_some_and(|silent_at| last_contact_at > Some(silent_at)) {
             self.silent_at = None;
-            self.failure = 0.0;
+            self.failure_rate = 0.0;
             return Some(SilenceChange::Heard);
         }
         None
@@ -159,19 +161,19 @@
 
     /// Returns the milliseconds that a request is expected to lose at this server.
     pub fn cost_ms(&self, now: Instant) -> f64 {
-        let kept = self.kept_part(now);
-        let slow_ms = (self.slow_ms * kept - USUAL_SPREAD_MS).max(0.0);
-        self.failure * kept * FAILURE_COST_MS + slow_ms
+        let factor = self.decay_factor(now);
+        let slowness_ms = (self.slowness_ms * factor - NORMAL_SLOWNESS_MS).max(0.0);
+        self.failure_rate * factor * FAILURE_COST_MS + slowness_ms
     }
 
     fn decay(&mut self, now: Instant) {
-        let kept = self.kept_part(now);
-        self.failure *= kept;
-        self.slow_ms *= kept;
+        let factor = self.decay_factor(now);
+        self.failure_rate *= factor;
+        self.slowness_ms *= factor;
         self.updated_at = Some(now);
     }
 
-    fn kept_part(&self, now: Instant) -> f64 {
+    fn decay_factor(&self, now: Instant) -> f64 {
         let Some(updated_at) = self.updated_at else { return 1.0 };
         let age = now.saturating_duration_since(updated_at);
         (-age.as_secs_f64() / DECAY_PERIOD.as_secs_f64()).exp()
--- a/src/decision/relay/load_exchange.rs
+++ b/src/decision/relay/load_exchange.rs
@@ -6,9 +6,9 @@
 
 use super::fleet::Fleet;
 use super::health::SilenceChange;
-use super::kept_prefixes::HeldPrefix;
+use super::prefix_index::CachedPrefix;
 use super::prompt::PrefixKey;
-use super::server::{ServerLoad, ServerNews};
+use super::server::{ServerLoad, ServerUpdate};
 use crate::decision::membership::TreePlace;
 use crate::types::{InstanceId, ServerId};
 use serde::{Deserialize, Serialize};
@@ -23,10 +23,10 @@
 const SHORT_LOAD_PERIOD: Duration = Duration::from_millis(50);
 
 /// Time after which an unchanged load is told again; less than it holds at the partners.
-const LOAD_REPEAT: Duration = Duration::from_millis(1_000);
+const LOAD_REPEAT_PERIOD: Duration = Duration::from_millis(1_000);
 
 /// Prefixes that may wait for a neighbour to be told; it learns of others by using them.
-const MOST_WAITING: usize = 2_048;
+const MAX_PENDING_PREFIXES: usize = 2_048;
 
 /// Requests at backend servers, of the sender and of the nodes for which it speaks.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
@@ -34,11 +34,11 @@
     /// Nodes whose requests are counted.
     pub nodes: u32,
     /// Load and signs of each server in use.
-    pub servers: Vec<ServerNews>,
+    pub servers: Vec<ServerUpdate>,
     /// Prefixes saved to the store of kept KV cache that the receiver was not told of before.
     pub stored: Vec<PrefixKey>,
     /// Prefixes with the servers that read them, which the receiver was not told of before.
-    pub held: Vec<HeldPrefix>,
+    pub held: Vec<CachedPrefix>,
     /// Output tokens a second of the long runs that these nodes started.
     pub long_tokens_per_s: u32,
 }
@@ -65,14 +65,14 @@
     /// Stored prefixes that it has not been told of.
     stored: Vec<PrefixKey>,
     /// Prefixes that servers read of which it has not been told.
-    held: Vec<HeldPrefix>,
+    held: Vec<CachedPrefix>,
 }
 
 /// Loads that go to and come from the neighbours.
 #[derive(Clone, Debug)]
 pub struct LoadExchange {
     /// Whether a neighbour is told what others told.
-    passes_on: bool,
+    is_tree: bool,
     neighbours: BTreeMap<InstanceId, Neighbour>,
     next_at: Instant,
 }
@@ -80,17 +80,17 @@
 impl LoadExchange {
     /// Returns the exchange of a node without neighbours.
     pub fn new(now: Instant) -> Self {
-        Self { passes_on: false, neighbours: BTreeMap::new(), next_at: now }
+        Self { is_tree: false, neighbours: BTreeMap::new(), next_at: now }
     }
 
     /// Whether loads come over several nodes, and thus later.
     pub fn is_tree(&self) -> bool {
-        self.passes_on
+        self.is_tree
     }
 
     /// Whether this node passes the loads of others on.
-    pub fn is_inner(&self) -> bool {
-        self.passes_on && self.neighbours.len() > 1
+    pub fn forwards_loads(&self) -> bool {
+        self.is_tree && self.neighbours.len() > 1
     }
 
     /// Returns the neighbours.
@@ -100,54 +100,55 @@
 
     /// Takes in this node's place; `passes_on` says whether the nodes form a tree. Returns whether
     /// the neighbours are others than before.
-    pub fn set_place(&mut self, place: &TreePlace, passes_on: bool, fleet: &mut Fleet) -> bool {
-        self.passes_on = passes_on;
-        let wanted: BTreeSet<&InstanceId> = place.neighbours().collect();
-        let is_changed = !self.neighbours.keys().eq(wanted.iter().copied());
-        for peer in self.neighbours.keys().filter(|peer| !wanted.contains(peer)) {
-            fleet.forget_partner(peer);
+    pub fn set_place(&mut self, place: &TreePlace, is_tree: bool, fleet: &mut Fleet) -> bool {
+        self.is_tree = is_tree;
+        let current: BTreeSet<&InstanceId> = place.neighbours().collect();
+        let is_changed = !self.neighbours.keys().eq(current.iter().copied());
+        for peer in self.neighbours.keys().filter(|peer| !current.contains(peer)) {
+            fleet.remove_partner(peer);
         }
-        self.neighbours.retain(|peer, _| wanted.contains(peer));
-        for peer in wanted {
+        self.neighbours.retain(|peer, _| current.contains(peer));
+        for peer in current {
             self.neighbours.entry(peer.clone()).or_default();
         }
         is_changed
     }
 
     /// Whether loads are to be told now.
-    pub fn take_due(&mut self, is_rollout: bool, now: Instant) -> bool {
+    pub fn start_round_if_due(&mut self, is_rollout: bool, now: Instant) -> bool {
         if now < self.next_at {
             return false;
         }
-        let is_short = is_rollout || self.is_inner();
+        let is_short = is_rollout || self.forwards_loads();
         self.next_at = now + if is_short { SHORT_LOAD_PERIOD } else { LOAD_PERIOD };
         true
     }
 
     /// Takes in the prefixes that this node had saved or read.
-    pub fn add_new_prefixes(&mut self, fleet: &mut Fleet) {
-        let (stored, held) = (fleet.kept.take_newly_stored(), fleet.kept.take_newly_held());
-        self.add_prefixes(None, &stored, &held);
+    pub fn queue_new_prefixes(&mut self, fleet: &mut Fleet) {
+        let (stored, held) =
+            (fleet.prefixes.take_newly_stored(), fleet.prefixes.take_newly_cached());
+        self.queue_prefixes(None, &stored, &held);
     }
 
     /// Returns what a neighbour is to be told, none if it knows that.
-    pub fn outgoing(
+    pub fn next_message(
         &mut self,
         peer: &InstanceId,
         fleet: &Fleet,
         now: Instant,
     ) -> Option<RelayLoad> {
-        let mut load = self.sum_without(peer, fleet, now);
+        let mut load = self.load_without(peer, fleet, now);
         let neighbour = self.neighbours.get_mut(peer)?;
         let is_repeat_due = neighbour.repeat_at.is_none_or(|at| at <= now);
         let loads: Vec<(ServerId, ServerLoad)> =
-            load.servers.iter().map(|news| (news.server.clone(), news.load)).collect();
+            load.servers.iter().map(|update| (update.server.clone(), update.load)).collect();
         let is_unchanged = neighbour.last_sent.as_ref() == Some(&(load.nodes, loads.clone()));
         let knows_prefixes = neighbour.stored.is_empty() && neighbour.held.is_empty();
         if is_unchanged && knows_prefixes && !is_repeat_due {
             return None;
         }
-        neighbour.repeat_at = Some(now + LOAD_REPEAT);
+        neighbour.repeat_at = Some(now + LOAD_REPEAT_PERIOD);
         neighbour.last_sent = Some((load.nodes, loads));
         load.stored = std::mem::take(&mut neighbour.stored);
         load.held = std::mem::take(&mut neighbour.held);
@@ -173,46 +174,47 @@
             return Err(IgnoredLoad::TooManyNodes);
         }
         neighbour.nodes = load.nodes;
-        if self.passes_on {
-            self.add_prefixes(Some(peer), &load.stored, &load.held);
+        if self.is_tree {
+            self.queue_prefixes(Some(peer), &load.stored, &load.held);
         }
-        fleet.long_tokens.set_partner(peer.clone(), f64::from(load.long_tokens_per_s), now);
-        let changes = fleet.set_told(peer, &load.servers, now);
-        fleet.kept.add_stored_elsewhere(&load.stored, now);
-        fleet.kept.add_held_elsewhere(&load.held, now);
+        fleet.decode_rate.set_partner_rate(peer.clone(), f64::from(load.long_tokens_per_s), now);
+        let changes = fleet.apply_updates(peer, &load.servers, now);
+        fleet.prefixes.add_stored_by_partner(&load.stored, now);
+        fleet.prefixes.add_cached_by_partner(&load.held, now);
         Ok(changes)
     }
 
-    fn sum_without(&self, peer: &InstanceId, fleet: &Fleet, now: Instant) -> RelayLoad {
-        if !self.passes_on {
-            let long_tokens_per_s = fleet.long_tokens.own_per_s(now).round() as u32;
+    fn load_without(&self, peer: &InstanceId, fleet: &Fleet, now: Instant) -> RelayLoad {
+        if !self.is_tree {
+            let long_tokens_per_s = fleet.decode_rate.local_tokens_per_s(now).round() as u32;
             return RelayLoad {
                 nodes: 1,
-                servers: fleet.own_news(now),
+                servers: fleet.local_updates(now),
                 long_tokens_per_s,
                 ..RelayLoad::default()
             };
         }
         let others = self.neighbours.iter().filter(|(other, _)| *other != peer);
         let nodes = 1 + others.map(|(_, other)| other.nodes).sum::<u32>();
-        let long_tokens_per_s = fleet.long_tokens.per_s_without(Some(peer), now).round() as u32;
-        let servers = fleet.news_without(peer, now);
+        let long_tokens_per_s =
+            fleet.decode_rate.tokens_per_s_without(Some(peer), now).round() as u32;
+        let servers = fleet.updates_without(peer, now);
         RelayLoad { nodes, servers, long_tokens_per_s, ..RelayLoad::default() }
     }
 
-    fn add_prefixes(
+    fn queue_prefixes(
         &mut self,
         source: Option<&InstanceId>,
         stored: &[PrefixKey],
-        held: &[HeldPrefix],
+        held: &[CachedPrefix],
     ) {
         for (peer, neighbour) in &mut self.neighbours {
             if Some(peer) == source {
                 continue;
             }
-            let room = MOST_WAITING.saturating_sub(neighbour.stored.len());
+            let room = MAX_PENDING_PREFIXES.saturating_sub(neighbour.stored.len());
             neighbour.stored.extend(stored.iter().take(room));
-            let room = MOST_WAITING.saturating_sub(neighbour.held.len());
+            let room = MAX_PENDING_PREFIXES.saturating_sub(neighbour.held.len());
             neighbour.held.extend(held.iter().take(room).cloned());
         }
     }
--- a/src/decision/relay/kept_prefixes.rs
+++ b/src/decision/relay/prefix_index.rs
@@ -11,20 +11,20 @@
 const STORED_LIFETIME: Duration = Duration::from_secs(45);
 
 /// Time for which a save that was asked for is not asked for again.
-const SAVING_PERIOD: Duration = Duration::from_millis(1_500);
+const SAVE_RETRY_DELAY: Duration = Duration::from_millis(1_500);
 
 /// Time for which a server counts as holding a prefix after its last use; engines evict within
 /// seconds.
-const HELD_LIFETIME: Duration = Duration::from_secs(8);
+const LIKELY_CACHED_PERIOD: Duration = Duration::from_secs(8);
 
 /// Time after its last use in which a server surely holds a prefix.
-const SURELY_HELD: Duration = Duration::from_secs(2);
+const SURELY_CACHED_PERIOD: Duration = Duration::from_secs(2);
 
 /// Prefixes remembered at most.
-const MOST_PREFIXES: usize = 16_384;
+const MAX_PREFIXES: usize = 16_384;
 
 #[derive(Clone, Debug, Default)]
-struct KeptPrefix {
+struct PrefixRecord {
     stored_until: Option<Instant>,
     saving_until: Option<Instant>,
     held: Option<Held>,
@@ -38,17 +38,17 @@
 }
 
 /// Prefix with the server that reads it.
-pub type HeldPrefix = (PrefixKey, ServerId);
+pub type CachedPrefix = (PrefixKey, ServerId);
 
 /// Prefixes that were read lately.
 #[derive(Clone, Debug, Default)]
-pub struct KeptPrefixes {
-    prefixes: HashMap<PrefixKey, KeptPrefix>,
+pub struct PrefixIndex {
+    prefixes: HashMap<PrefixKey, PrefixRecord>,
     newly_stored: Vec<PrefixKey>,
-    newly_held: Vec<HeldPrefix>,
+    newly_cached: Vec<CachedPrefix>,
 }
 
-impl KeptPrefixes {
+impl PrefixIndex {
     /// Takes in that a server was asked to save the prefixes `keys` to the store.
     pub fn add_stored(&mut self, keys: &[PrefixKey], now: Instant) {
         for key in keys {
@@ -60,20 +60,20 @@
     }
 
     /// Takes in that a server is asked to save the prefixes `keys`.
-    pub fn add_saving(&mut self, keys: &[PrefixKey], now: Instant) {
+    pub fn mark_saving(&mut self, keys: &[PrefixKey], now: Instant) {
         for key in keys {
-            self.entry(*key, now).saving_until = Some(now + SAVING_PERIOD);
+            self.entry(*key, now).saving_until = Some(now + SAVE_RETRY_DELAY);
         }
     }
 
     /// Whether a prefix is neither stored nor being saved.
-    pub fn is_unsaved(&self, key: PrefixKey, now: Instant) -> bool {
+    pub fn needs_save(&self, key: PrefixKey, now: Instant) -> bool {
         let saving = self.prefixes.get(&key).and_then(|prefix| prefix.saving_until);
         !self.is_stored(key, now) && saving.is_none_or(|until| until <= now)
     }
 
     /// Takes in prefixes that partners had saved.
-    pub fn add_stored_elsewhere(&mut self, keys: &[PrefixKey], now: Instant) {
+    pub fn add_stored_by_partner(&mut self, keys: &[PrefixKey], now: Instant) {
         keys.iter().for_each(|key| self.set_stored(*key, now));
     }
 
@@ -90,37 +90,43 @@
 
     /// Takes in that `server` reads the prefixes `keys`; `is_told` says whether other nodes are to
     /// know of the deepest.
-    pub fn add_held(&mut self, keys: &[PrefixKey], server: &ServerId, is_told: bool, now: Instant) {
-        keys.iter().for_each(|key| self.set_held(*key, server, now));
-        if let Some(deepest) = keys.last().filter(|_| is_told) {
-            self.newly_held.push((*deepest, server.clone()));
+    pub fn add_cached(
+        &mut self,
+        keys: &[PrefixKey],
+        server: &ServerId,
+        is_announced: bool,
+        now: Instant,
+    ) {
+        keys.iter().for_each(|key| self.set_cached(*key, server, now));
+        if let Some(deepest) = keys.last().filter(|_| is_announced) {
+            self.newly_cached.push((*deepest, server.clone()));
         }
     }
 
     /// Takes in prefixes that servers read for other nodes.
-    pub fn add_held_elsewhere(&mut self, held: &[HeldPrefix], now: Instant) {
-        held.iter().for_each(|(key, server)| self.set_held(*key, server, now));
+    pub fn add_cached_by_partner(&mut self, held: &[CachedPrefix], now: Instant) {
+        held.iter().for_each(|(key, server)| self.set_cached(*key, server, now));
     }
 
     /// Returns the prefixes that servers read for this node since the last call.
-    pub fn take_newly_held(&mut self) -> Vec<HeldPrefix> {
-        std::mem::take(&mut self.newly_held)
+    pub fn take_newly_cached(&mut self) -> Vec<CachedPrefix> {
+        std::mem::take(&mut self.newly_cached)
     }
 
     /// Returns the server that read a prefix last, if it may still hold it.
-    pub fn holder(&self, key: PrefixKey, now: Instant) -> Option<&ServerId> {
+    pub fn likely_cached_on(&self, key: PrefixKey, now: Instant) -> Option<&ServerId> {
         let held = self.prefixes.get(&key)?.held.as_ref()?;
-        (now < held.used_at + HELD_LIFETIME).then_some(&held.server)
+        (now < held.used_at + LIKELY_CACHED_PERIOD).then_some(&held.server)
     }
 
     /// Whether `server` read a prefix last, and so lately that it holds it.
-    pub fn is_held_by(&self, key: PrefixKey, server: &ServerId, now: Instant) -> bool {
+    pub fn is_cached_on(&self, key: PrefixKey, server: &ServerId, now: Instant) -> bool {
         let held = self.prefixes.get(&key).and_then(|prefix| prefix.held.as_ref());
-        held.is_some_and(|held| held.server == *server && now < held.used_at + SURELY_HELD)
+        held.is_some_and(|held| held.server == *server && now < held.used_at + SURELY_CACHED_PERIOD)
     }
 
     /// Forgets what the store kept, after it was lost.
-    pub fn forget_stored(&mut self) {
+    pub fn clear_stored(&mut self) {
         self.prefixes.values_mut().for_each(|prefix| prefix.stored_until = None);
         self.newly_stored.clear();
     }
@@ -129,18 +135,21 @@
         self.entry(key, now).stored_until = Some(now + STORED_LIFETIME);
     }
 
-    fn set_held(&mut self, key: PrefixKey, server: &ServerId, now: Instant) {
+    fn set_cached(&mut self, key: PrefixKey, server: &ServerId, now: Instant) {
         self.entry(key, now).held = Some(Held { server: server.clone(), used_at: now });
     }
 
-    fn entry(&mut self, key: PrefixKey, now: Instant) -> &mut KeptPrefix {
-        if self.prefixes.len() >= MOST_PREFIXES {
+    fn entry(&mut self, key: PrefixKey, now: Instant) -> &mut PrefixRecord {
+        if self.prefixes.len() >= MAX_PREFIXES {
             self.prefixes.retain(|_, prefix| {
                 prefix.stored_until.is_some_and(|until| now < until)
-                    || prefix.held.as_ref().is_some_and(|held| now < held.used_at + HELD_LIFETIME)
+                    || prefix
+                        .held
+                        .as_ref()
+                        .is_some_and(|held| now < held.used_at + LIKELY_CACHED_PERIOD)
             });
         }
-        if self.prefixes.len() >= MOST_PREFIXES {
+        if self.prefixes.len() >= MAX_PREFIXES {
             self.prefixes.clear();
         }
         self.prefixes.entry(key).or_default()
--- a/src/decision/relay/prompt.rs
+++ b/src/decision/relay/prompt.rs
@@ -5,14 +5,14 @@
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 /// Output tokens that a long run may generate at least.
-const LONG_RUN_OUTPUT_TOKENS: u32 = 100;
+const MIN_DECODE_HEAVY_OUTPUT_TOKENS: u32 = 100;
 
 /// Prompt tokens for each output token below which generating takes most of the time: an engine
 /// reads some hundred tokens in the time of one step.
-const LONG_RUN_PROMPT_RATIO: u32 = 10;
+const MAX_DECODE_HEAVY_PROMPT_RATIO: u32 = 10;
 
 /// Part of the tokens that it may generate that a run generates if its caller gives no estimate.
-const USUAL_OUTPUT_DIVISOR: u32 = 3;
+const DEFAULT_OUTPUT_DIVISOR: u32 = 3;
 
 /// Part of a prompt.
 #[derive(Clone, Debug, Eq, PartialEq)]
@@ -31,7 +31,7 @@
     /// Tokens of the whole prompt.
     pub prompt_tokens: u32,
     /// Tokens that may be generated.
-    pub output_tokens: u32,
+    pub max_output_tokens: u32,
     /// Tokens that the caller expects to be generated.
     pub output_estimate_tokens: Option<u32>,
     /// Parts in order; the last belongs to the request alone.
@@ -39,7 +39,7 @@
 }
 
 /// Shared tokens from which a prefix is worth keeping in the store; shorter ones are read faster.
-pub(super) const LEAST_KEPT_TOKENS: u32 = 1_000;
+pub(super) const MIN_STORED_TOKENS: u32 = 1_000;
 
 /// Hash of the parts of a prompt up to one of them.
 pub type PrefixKey = u64;
@@ -63,12 +63,12 @@
     }
 
     /// Whether the shared parts are so long that transfers beat reading them again.
-    pub fn is_worth_keeping(&self) -> bool {
-        self.shared_tokens() >= LEAST_KEPT_TOKENS
+    pub fn is_worth_storing(&self) -> bool {
+        self.shared_tokens() >= MIN_STORED_TOKENS
     }
 
     /// Returns the tokens that no other request has.
-    pub fn own_tokens(&self) -> u32 {
+    pub fn unshared_tokens(&self) -> u32 {
         self.prompt_tokens.saturating_sub(self.shared_tokens())
     }
 
@@ -78,20 +78,21 @@
     }
 
     /// Returns the key of the part that belongs to the request alone.
-    pub fn own_key(&self) -> PrefixKey {
+    pub fn unshared_key(&self) -> PrefixKey {
         self.parts.last().map_or(0, |part| xxh3_64_with_seed(part.id.as_bytes(), 0))
     }
 
     /// Returns the tokens that will probably be generated.
     pub fn expected_output_tokens(&self) -> u32 {
-        let usual = self.output_tokens / USUAL_OUTPUT_DIVISOR;
-        self.output_estimate_tokens.unwrap_or(usual).min(self.output_tokens)
+        let usual = self.max_output_tokens / DEFAULT_OUTPUT_DIVISOR;
+        self.output_estimate_tokens.unwrap_or(usual).min(self.max_output_tokens)
     }
 
     /// Whether generating takes the most of the request's time, rather than reading the prompt.
-    pub fn is_long_run(&self) -> bool {
-        self.output_tokens >= LONG_RUN_OUTPUT_TOKENS
-            && self.prompt_tokens < self.output_tokens.saturating_mul(LONG_RUN_PROMPT_RATIO)
+    pub fn is_decode_heavy(&self) -> bool {
+        self.max_output_tokens >= MIN_DECODE_HEAVY_OUTPUT_TOKENS
+            && self.prompt_tokens
+                < self.max_output_tokens.saturating_mul(MAX_DECODE_HEAVY_PROMPT_RATIO)
     }
 
     fn shared_parts(&self) -> &[PromptPart] {
--- a/src/decision/relay/record_watch.rs
+++ b/src/decision/relay/read_schedule.rs
@@ -15,10 +15,10 @@
 const FOLLOWERS: usize = 3;
 
 /// Time for which a follower's read waits; others rely on the store's answers being that recent.
-const FOLLOWER_WAIT: Duration = Duration::from_millis(700);
+const FOLLOWER_READ_WAIT: Duration = Duration::from_millis(700);
 
 /// Time between two reads of a follower, so that one answer brings the records of a burst.
-const FOLLOWER_GAP: Duration = Duration::from_millis(150);
+const FOLLOWER_READ_GAP: Duration = Duration::from_millis(150);
 
 /// Age of what is known at which a node that does not follow reads: records are to be in force
 /// within three seconds.
@@ -26,13 +26,13 @@
 
 /// Time between the reads of nodes that find out at once that nobody follows: the first one's
 /// answer reaches the others meanwhile.
-const STALE_STEP: Duration = Duration::from_millis(60);
+const STALE_READ_STAGGER: Duration = Duration::from_millis(60);
 
 /// Steps that a node waits at most.
-const MOST_STALE_STEPS: usize = 8;
+const MAX_STAGGER_STEPS: usize = 8;
 
 /// Time for which a node whose read failed does not count itself among the followers.
-const STEP_BACK: Duration = Duration::from_millis(2_000);
+const FAILED_READ_BACKOFF: Duration = Duration::from_millis(2_000);
 
 /// What a node does next about a topic.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
@@ -47,7 +47,7 @@
 }
 
 #[derive(Clone, Copy, Debug, Default)]
-struct TopicWatch {
+struct TopicSchedule {
     /// Nodes that come before this one among the followers.
     rank: usize,
     /// When the store was known to hold nothing newer.
@@ -58,11 +58,11 @@
 
 /// Reads of all topics.
 #[derive(Clone, Debug, Default)]
-pub struct RecordWatch {
-    topics: BTreeMap<RecordTopic, TopicWatch>,
+pub struct ReadSchedule {
+    topics: BTreeMap<RecordTopic, TopicSchedule>,
 }
 
-impl RecordWatch {
+impl ReadSchedule {
     /// Takes in which nodes live, this one included.
     pub fn set_nodes(&mut self, me: &InstanceId, live: &[InstanceId], topics: &[RecordTopic]) {
         for topic in topics {
@@ -81,14 +81,14 @@
     }
 
     /// Takes in that the store answered a read.
-    pub fn note_answered(&mut self, topic: RecordTopic, now: Instant) {
-        let watch = self.topics.entry(topic).or_default();
-        watch.answered_at = Some(now);
-        watch.failed_at = None;
+    pub fn record_answer(&mut self, topic: RecordTopic, now: Instant) {
+        let schedule = self.topics.entry(topic).or_default();
+        schedule.answered_at = Some(now);
+        schedule.failed_at = None;
     }
 
     /// Takes in that a read failed.
-    pub fn note_failed(&mut self, topic: RecordTopic, now: Instant) {
+    pub fn record_failure(&mut self, topic: RecordTopic, now: Instant) {
         self.topics.entry(topic).or_default().failed_at = Some(now);
     }
 
@@ -100,13 +100,16 @@
 
     /// Returns what to do next about `topic`.
     pub fn next_read(&self, topic: RecordTopic, now: Instant) -> NextRead {
-        let watch = self.topics.get(&topic).copied().unwrap_or_default();
-        let has_failed = watch.failed_at.is_some_and(|at| now < at + STEP_BACK);
-        let (due_at, wait) = if watch.rank < FOLLOWERS && !has_failed {
-            (watch.answered_at.map(|at| at + FOLLOWER_GAP), FOLLOWER_WAIT)
+        let schedule = self.topics.get(&topic).copied().unwrap_or_default();
+        let has_failed = schedule.failed_at.is_some_and(|at| now < at + FAILED_READ_BACKOFF);
+        let (due_at, wait) = if schedule.rank < FOLLOWERS && !has_failed {
+            (schedule.answered_at.map(|at| at + FOLLOWER_READ_GAP), FOLLOWER_READ_WAIT)
         } else {
-            let steps = watch.rank.saturating_sub(FOLLOWERS).min(MOST_STALE_STEPS) as u32;
-            (watch.confirmed_at.map(|at| at + STALE_AFTER + STALE_STEP * steps), Duration::ZERO)
+            let steps = schedule.rank.saturating_sub(FOLLOWERS).min(MAX_STAGGER_STEPS) as u32;
+            (
+                schedule.confirmed_at.map(|at| at + STALE_AFTER + STALE_READ_STAGGER * steps),
+                Duration::ZERO,
+            )
         };
         match due_at {
             Some(due_at) if now < due_at => NextRead::Wait(due_at),
--- a/src/decision/relay/heard_notices.rs
+++ b/src/decision/relay/received_notices.rs
@@ -5,43 +5,43 @@
 
 /// Notices that are remembered; a coordinator sends some twenty in the second that one takes to all
 /// nodes at most.
-const MOST_NOTICES: usize = 64;
+const MAX_NOTICES: usize = 64;
 
 /// Notice of a rollout: its lease and its number under the lease.
 type NoticeId = (FencingNumber, u64);
 
 /// How a notice relates to those heard before.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum HeardNotice {
+pub enum NoticeOrder {
     /// It is the newest so far.
     Newest,
     /// A newer one came before.
     Late,
     /// It was heard before, or so many others were since that it may have been.
-    Again,
+    Duplicate,
 }
 
 /// Notices heard so far.
 #[derive(Clone, Debug, Default)]
-pub struct HeardNotices {
-    heard: VecDeque<NoticeId>,
+pub struct ReceivedNotices {
+    received: VecDeque<NoticeId>,
     /// Newest notice that is no longer remembered.
-    forgotten: Option<NoticeId>,
+    newest_evicted: Option<NoticeId>,
 }
 
-impl HeardNotices {
+impl ReceivedNotices {
     /// Takes in the notice `number` under the lease with `fencing_number`.
-    pub fn hear(&mut self, fencing_number: FencingNumber, number: u64) -> HeardNotice {
+    pub fn record(&mut self, fencing_number: FencingNumber, number: u64) -> NoticeOrder {
         let id = (fencing_number, number);
         // A notice that counted as new again would go round among the nodes for ever.
-        if Some(id) <= self.forgotten || self.heard.contains(&id) {
-            return HeardNotice::Again;
+        if Some(id) <= self.newest_evicted || self.received.contains(&id) {
+            return NoticeOrder::Duplicate;
         }
-        let is_late = self.heard.iter().any(|heard| *heard > id);
-        if self.heard.len() >= MOST_NOTICES {
-            self.forgotten = self.forgotten.max(self.heard.pop_front());
+        let is_late = self.received.iter().any(|received| *received > id);
+        if self.received.len() >= MAX_NOTICES {
+            self.newest_evicted = self.newest_evicted.max(self.received.pop_front());
         }
-        self.heard.push_back(id);
-        if is_late { HeardNotice::Late } else { HeardNotice::Newest }
+        self.received.push_back(id);
+        if is_late { NoticeOrder::Late } else { NoticeOrder::Newest }
     }
 }
--- a/src/decision/relay/register_lease.rs
+++ b/src/decision/relay/register_lease.rs
@@ -68,14 +68,14 @@
     }
 
     /// Returns the number of the record to replace, if this node may take or renew the lease now.
-    pub fn replaceable(&self, now: Instant) -> Option<FencingNumber> {
+    pub fn replaceable_number(&self, now: Instant) -> Option<FencingNumber> {
         let known = self.known.as_ref()?;
         let is_own = known.record.holder == self.instance;
         (is_own || now >= known.free_at).then_some(known.record.number)
     }
 
     /// Takes in that this node replaced the register's record at `sent_at`.
-    pub fn take(&mut self, number: FencingNumber, sent_at: Instant) {
+    pub fn acquire(&mut self, number: FencingNumber, sent_at: Instant) {
         let deadline = sent_at + Duration::from_millis(self.lease_ms);
         self.held = Some(HeldLease { number, deadline });
         let record = RegisterRecord { number, holder: self.instance.clone() };
@@ -84,12 +84,12 @@
     }
 
     /// Drops the lease, after a fence was hit or the process was suspended.
-    pub fn drop_held(&mut self) {
+    pub fn drop_lease(&mut self) {
         self.held = None;
     }
 
     /// Returns the fencing number if the lease is held at `now`.
-    pub fn held(&self, now: Instant) -> Option<FencingNumber> {
+    pub fn fencing_number(&self, now: Instant) -> Option<FencingNumber> {
         self.held.filter(|held| now < held.deadline).map(|held| held.number)
     }
 
--- a/src/decision/relay/replica.rs
+++ b/src/decision/relay/replica.rs
@@ -65,7 +65,7 @@
 
 /// Part of a topic, as one node sends it to another.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub struct TopicPart {
+pub struct TopicDelta {
     /// Topic.
     pub topic: RecordTopic,
     /// Offset from which on the part holds every key's newest record, none for all of them.
@@ -106,7 +106,7 @@
         next_offset: LogOffset,
     ) -> Vec<KeyedRecord> {
         records.retain(|record| self.apply(record));
-        self.raise_known(topic, next_offset);
+        self.raise_known_below(topic, next_offset);
         records
     }
 
@@ -114,7 +114,7 @@
     ///
     /// A key that the listing lacks was deleted before `end`, unless its record is later than that.
     pub fn apply_listing(&mut self, topic: RecordTopic, listing: TopicListing) -> Vec<KeyedRecord> {
-        let mut news: Vec<KeyedRecord> = Vec::new();
+        let mut updates: Vec<KeyedRecord> = Vec::new();
         let listed: Vec<&SmolStr> = listing.records.iter().map(|record| &record.key).collect();
         let known = self.topics.entry(topic).or_default();
         let last_listed = listing.end.saturating_sub(1);
@@ -123,22 +123,22 @@
         };
         for record in known.records.values().filter(is_missing) {
             let key = record.key.clone();
-            news.push(KeyedRecord { topic, key, offset: last_listed, value: None });
+            updates.push(KeyedRecord { topic, key, offset: last_listed, value: None });
         }
         let end = listing.end;
-        news.extend(listing.records);
-        news.retain(|record| self.apply(record));
-        self.raise_known(topic, end);
-        news
+        updates.extend(listing.records);
+        updates.retain(|record| self.apply(record));
+        self.raise_known_below(topic, end);
+        updates
     }
 
     /// Takes in what a partner sent; returns the records that are news.
-    pub fn apply_part(&mut self, part: TopicPart) -> Vec<KeyedRecord> {
-        let is_complete = part.from.is_none_or(|from| self.known_below(part.topic) >= Some(from));
-        let mut records = part.records;
-        records.retain(|record| record.topic == part.topic && self.apply(record));
+    pub fn apply_delta(&mut self, delta: TopicDelta) -> Vec<KeyedRecord> {
+        let is_complete = delta.from.is_none_or(|from| self.known_below(delta.topic) >= Some(from));
+        let mut records = delta.records;
+        records.retain(|record| record.topic == delta.topic && self.apply(record));
         if is_complete {
-            self.raise_known(part.topic, part.known_below);
+            self.raise_known_below(delta.topic, delta.known_below);
         }
         records
     }
@@ -150,15 +150,15 @@
     }
 
     /// Returns what a partner lacks that knows the records below `from`.
-    pub fn part(&self, topic: RecordTopic, from: Option<LogOffset>) -> Option<TopicPart> {
+    pub fn delta(&self, topic: RecordTopic, from: Option<LogOffset>) -> Option<TopicDelta> {
         let known_below = self.known_below(topic)?;
         let known = self.topics.get(&topic)?;
         let is_later = |record: &&KeyedRecord| from.is_none_or(|from| record.offset >= from);
         let records = known.records.values().filter(is_later).cloned().collect();
-        Some(TopicPart { topic, from, known_below, records })
+        Some(TopicDelta { topic, from, known_below, records })
     }
 
-    fn raise_known(&mut self, topic: RecordTopic, known_below: LogOffset) {
+    fn raise_known_below(&mut self, topic: RecordTopic, known_below: LogOffset) {
         let known = &mut self.topics.entry(topic).or_default().known_below;
         *known = (*known).max(Some(known_below));
     }
--- a/src/decision/relay/resend.rs
+++ b/src/decision/relay/resend.rs
@@ -7,7 +7,7 @@
 use std::time::{Duration, Instant};
 
 /// Part of the allowance that is used; the rest covers nodes that see different numbers of nodes.
-const USED_PART: f64 = 0.75;
+const USED_FRACTION: f64 = 0.75;
 
 /// Site's allowance of requests that are sent once more.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Serialize)]
@@ -29,7 +29,7 @@
 
 #[derive(Clone, Debug, Default)]
 struct ServiceWindow {
-    firsts: VecDeque<Instant>,
+    first_sends: VecDeque<Instant>,
     resends: VecDeque<Instant>,
 }
 
@@ -53,9 +53,9 @@
     }
 
     /// Counts a request that is sent for the first time.
-    pub fn count_first(&mut self, service: &ServiceId, now: Instant) {
+    pub fn count_first_attempt(&mut self, service: &ServiceId, now: Instant) {
         let window = self.window(service, now);
-        window.firsts.push_back(now);
+        window.first_sends.push_back(now);
     }
 
     /// Takes one resend and returns whether there was one.
@@ -63,7 +63,7 @@
         let ResendSettings { ratio, slack, .. } = self.settings;
         let slack = slack / f64::from(self.nodes);
         let window = self.window(service, now);
-        let allowed = USED_PART * (ratio * window.firsts.len() as f64 + slack);
+        let allowed = USED_FRACTION * (ratio * window.first_sends.len() as f64 + slack);
         if (window.resends.len() + 1) as f64 > allowed {
             return false;
         }
@@ -77,7 +77,7 @@
             self.windows.insert(service.clone(), ServiceWindow::default());
         }
         let window = self.windows.get_mut(service).expect("inserted above");
-        for times in [&mut window.firsts, &mut window.resends] {
+        for times in [&mut window.first_sends, &mut window.resends] {
             while times.front().is_some_and(|at| *at + length <= now) {
                 times.pop_front();
             }
--- a/src/decision/relay/rollout.rs
+++ b/src/decision/relay/rollout.rs
@@ -13,7 +13,7 @@
 
 /// Change of a server's weights under way.
 #[derive(Clone, Copy, Debug)]
-struct Change {
+struct WeightsChange {
     /// Orders that the server had accepted before.
     accepted_orders: u64,
     /// When it should have loaded; none if its report alone tells.
@@ -29,20 +29,20 @@
     /// Closed; its requests end, and those that can go on elsewhere are taken off it at last.
     Draining { since: Instant, evicts: bool },
     /// Asked for its report before the order.
-    Reporting { lost_at: Instant, failures: u32 },
+    Reporting { timeout_at: Instant, failures: u32 },
     /// Ordered to change.
-    Ordering { lost_at: Instant, accepted_orders: u64 },
+    Ordering { timeout_at: Instant, accepted_orders: u64 },
     /// Changes; asked for its report at `report_at`.
-    Loading { report_at: Instant, change: Change },
+    Loading { report_at: Instant, change: WeightsChange },
     /// Asked whether it has changed.
-    Confirming { lost_at: Instant, change: Change },
+    Confirming { timeout_at: Instant, change: WeightsChange },
     /// Did not answer and is left alone.
-    Resting { until: Instant },
+    BackingOff { until: Instant },
 }
 
 /// What an order to a server was decided by.
 #[derive(Clone, Copy, Debug)]
-struct OrderFacts {
+struct OrderContext {
     /// Whether the server had no requests, so that it loads at once.
     is_empty: bool,
     /// What happens to its runs.
@@ -52,7 +52,7 @@
 }
 
 /// Reports in a row without an answer after which a server is left alone for a while.
-const MOST_FAILURES: u32 = 2;
+const MAX_REPORT_FAILURES: u32 = 2;
 
 /// Rollout of one model's weights, as its one coordinator carries it out.
 #[derive(Clone, Debug)]
@@ -61,7 +61,7 @@
     model: ModelId,
     revision: WeightsRevision,
     steps: BTreeMap<ServerId, Step>,
-    orders: BTreeMap<ServerId, OrderFacts>,
+    orders: BTreeMap<ServerId, OrderContext>,
 }
 
 impl Rollout {
@@ -99,7 +99,7 @@
     pub fn tick(&mut self, servers: &[RolloutServer], now: Instant) -> Vec<RolloutCommand> {
         let mut commands = Vec::new();
         self.steps.retain(|id, step| match step {
-            Step::Resting { until } => now < *until,
+            Step::BackingOff { until } => now < *until,
             _ => servers.iter().any(|server| server.id == *id),
         });
         let ids: Vec<ServerId> = self.steps.keys().cloned().collect();
@@ -112,7 +112,7 @@
     }
 
     /// Takes in a report, none if the server did not answer.
-    pub fn reported(
+    pub fn on_report(
         &mut self,
         id: &ServerId,
         report: Option<&WeightsReport>,
@@ -129,7 +129,7 @@
     }
 
     /// Takes in the answer to an order.
-    pub fn ordered(
+    pub fn on_order_outcome(
         &mut self,
         id: &ServerId,
         outcome: WeightsOrderOutcome,
@@ -140,7 +140,7 @@
         };
         match outcome {
             WeightsOrderOutcome::Invalid | WeightsOrderOutcome::Fenced => {
-                return vec![self.give_up(id, now)];
+                return vec![self.abandon(id, now)];
             }
             WeightsOrderOutcome::Accepted => self.await_loading(id, accepted_orders, now),
             WeightsOrderOutcome::AlreadyHolds
@@ -168,10 +168,10 @@
             self.await_report(id, now + self.report_period(), accepted_orders, now);
             return Vec::new();
         }
-        let lost_at = now + self.answer_timeout();
-        self.steps.insert(id.clone(), Step::Ordering { lost_at, accepted_orders });
+        let timeout_at = now + self.answer_timeout();
+        self.steps.insert(id.clone(), Step::Ordering { timeout_at, accepted_orders });
         let revision = self.revision;
-        let facts = self.orders.entry(id.clone()).or_insert(OrderFacts {
+        let facts = self.orders.entry(id.clone()).or_insert(OrderContext {
             is_empty: false,
             runs: RunPolicy::Wait,
             revision,
@@ -186,7 +186,7 @@
         let loaded_at = now + Duration::from_millis(self.settings.load_ms);
         let lag = Duration::from_millis(self.settings.report_lag_ms);
         let is_empty = self.orders.get(id).is_some_and(|facts| facts.is_empty);
-        let change = Change {
+        let change = WeightsChange {
             accepted_orders,
             loaded_at: is_empty.then_some(loaded_at),
             settled_at: loaded_at + lag,
@@ -205,7 +205,7 @@
         now: Instant,
     ) {
         let settled_at = now + Duration::from_millis(self.settings.report_lag_ms);
-        let change = Change { accepted_orders, loaded_at: None, settled_at, is_open: false };
+        let change = WeightsChange { accepted_orders, loaded_at: None, settled_at, is_open: false };
         self.steps.insert(id.clone(), Step::Loading { report_at, change });
     }
 
@@ -214,12 +214,12 @@
         &mut self,
         id: &ServerId,
         report: Option<&WeightsReport>,
-        change: Change,
+        change: WeightsChange,
         now: Instant,
     ) -> Vec<RolloutCommand> {
         let report_at = now + self.report_period();
         let Some(report) = report else {
-            self.steps.insert(id.clone(), Step::Reporting { lost_at: report_at, failures: 0 });
+            self.steps.insert(id.clone(), Step::Reporting { timeout_at: report_at, failures: 0 });
             return Vec::new();
         };
         if self.has_changed(report) {
@@ -254,34 +254,34 @@
     }
 
     fn advance(&mut self, id: &ServerId, now: Instant, commands: &mut Vec<RolloutCommand>) {
-        let lost_at = now + self.answer_timeout();
-        let evict = Duration::from_millis(self.settings.evict_ms);
+        let timeout_at = now + self.answer_timeout();
+        let evict = Duration::from_millis(self.settings.evict_after_ms);
         match self.steps.get(id).copied() {
             Some(Step::Draining { since, evicts: false }) if now >= since + evict => {
                 self.steps.insert(id.clone(), Step::Draining { since, evicts: true });
                 commands.push(RolloutCommand::Evict(id.clone()));
             }
-            Some(Step::Reporting { lost_at, failures }) if now >= lost_at => {
+            Some(Step::Reporting { timeout_at, failures }) if now >= timeout_at => {
                 commands.extend(self.fail_report(id, failures, now));
             }
-            Some(Step::Ordering { lost_at: lost, accepted_orders }) if now >= lost => {
+            Some(Step::Ordering { timeout_at: lost, accepted_orders }) if now >= lost => {
                 self.await_report(id, now, accepted_orders, now);
             }
             Some(Step::Loading { report_at, change }) if now >= report_at => {
-                self.steps.insert(id.clone(), Step::Confirming { lost_at, change });
+                self.steps.insert(id.clone(), Step::Confirming { timeout_at, change });
                 commands.push(RolloutCommand::Report(id.clone()));
             }
             Some(Step::Loading { report_at, change })
                 if !change.is_open && change.loaded_at.is_some_and(|at| now >= at) =>
             {
                 // Reports lag; the server is opened when it should have loaded, and asked later.
-                let change = Change { is_open: true, ..change };
+                let change = WeightsChange { is_open: true, ..change };
                 self.steps.insert(id.clone(), Step::Loading { report_at, change });
                 let revision = self.orders.get(id).map_or(self.revision, |facts| facts.revision);
                 commands.push(RolloutCommand::Finish { server: id.clone(), revision });
             }
-            Some(Step::Confirming { lost_at: lost, .. }) if now >= lost => {
-                self.steps.insert(id.clone(), Step::Reporting { lost_at, failures: 0 });
+            Some(Step::Confirming { timeout_at: lost, .. }) if now >= lost => {
+                self.steps.insert(id.clone(), Step::Reporting { timeout_at, failures: 0 });
                 commands.push(RolloutCommand::Report(id.clone()));
             }
             _ => {}
@@ -295,17 +295,17 @@
         now: Instant,
         commands: &mut Vec<RolloutCommand>,
     ) {
-        let notice = Duration::from_millis(self.settings.notice_ms);
-        let drain = Duration::from_millis(self.settings.drain_ms);
+        let notice = Duration::from_millis(self.settings.notice_delay_ms);
+        let drain = Duration::from_millis(self.settings.drain_timeout_ms);
         let is_loading = |step: &&Step| match step {
             Step::Reporting { .. } | Step::Ordering { .. } => true,
             Step::Loading { change, .. } | Step::Confirming { change, .. } => {
                 change.loaded_at.is_none_or(|at| now < at)
             }
-            Step::Draining { .. } | Step::Resting { .. } => false,
+            Step::Draining { .. } | Step::BackingOff { .. } => false,
         };
         let mut room = self
-            .most_loading(servers)
+            .max_loading(servers)
             .saturating_sub(self.steps.values().filter(is_loading).count());
         let mut drained: Vec<&RolloutServer> = servers
             .iter()
@@ -320,16 +320,16 @@
         drained.sort_by_key(|server| server.requests);
         while room > 0 && !drained.is_empty() {
             let server = drained.remove(0);
-            let limit = Duration::from_millis(self.settings.wait_limit_ms);
+            let limit = Duration::from_millis(self.settings.max_run_wait_ms);
             let waits = server.outdated_since.is_none_or(|since| now < since + limit);
-            let facts = OrderFacts {
+            let facts = OrderContext {
                 is_empty: server.requests == 0,
                 runs: if waits { RunPolicy::Wait } else { RunPolicy::Keep },
                 revision: self.revision,
             };
             self.orders.insert(server.id.clone(), facts);
-            let lost_at = now + self.answer_timeout();
-            self.steps.insert(server.id.clone(), Step::Reporting { lost_at, failures: 0 });
+            let timeout_at = now + self.answer_timeout();
+            self.steps.insert(server.id.clone(), Step::Reporting { timeout_at, failures: 0 });
             commands.push(RolloutCommand::Report(server.id.clone()));
             room -= 1;
         }
@@ -344,13 +344,13 @@
         commands: &mut Vec<RolloutCommand>,
     ) {
         let half = servers.len().div_ceil(2);
-        let part = (servers.len() as f64 * self.settings.closed_part) as usize;
-        let most = part.max(2 * self.settings.least_loading).min(half).max(1);
+        let part = (servers.len() as f64 * self.settings.closed_fraction) as usize;
+        let most = part.max(2 * self.settings.min_loading).min(half).max(1);
         let busy = self.steps.values().filter(|step| match step {
             Step::Loading { change, .. } | Step::Confirming { change, .. } => {
                 change.loaded_at.is_none_or(|at| now < at)
             }
-            Step::Resting { .. } => false,
+            Step::BackingOff { .. } => false,
             _ => true,
         });
         let room = most.saturating_sub(busy.count());
@@ -366,24 +366,25 @@
         }
     }
 
-    fn most_loading(&self, servers: &[RolloutServer]) -> usize {
-        let part = (servers.len() as f64 * self.settings.loading_part) as usize;
-        part.max(self.settings.least_loading)
+    fn max_loading(&self, servers: &[RolloutServer]) -> usize {
+        let part = (servers.len() as f64 * self.settings.loading_fraction) as usize;
+        part.max(self.settings.min_loading)
     }
 
     fn fail_report(&mut self, id: &ServerId, failures: u32, now: Instant) -> Vec<RolloutCommand> {
-        if failures + 1 >= MOST_FAILURES {
-            return vec![self.give_up(id, now)];
+        if failures + 1 >= MAX_REPORT_FAILURES {
+            return vec![self.abandon(id, now)];
         }
-        let step = Step::Reporting { lost_at: now + self.answer_timeout(), failures: failures + 1 };
+        let step =
+            Step::Reporting { timeout_at: now + self.answer_timeout(), failures: failures + 1 };
         self.steps.insert(id.clone(), step);
         vec![RolloutCommand::Report(id.clone())]
     }
 
-    fn give_up(&mut self, id: &ServerId, now: Instant) -> RolloutCommand {
+    fn abandon(&mut self, id: &ServerId, now: Instant) -> RolloutCommand {
         let until = now + Duration::from_millis(self.settings.retry_ms);
-        self.steps.insert(id.clone(), Step::Resting { until });
-        RolloutCommand::GiveUp(id.clone())
+        self.steps.insert(id.clone(), Step::BackingOff { until });
+        RolloutCommand::Abandon(id.clone())
     }
 
     fn answer_timeout(&self) -> Duration {
@@ -398,7 +399,7 @@
 impl Step {
     fn is_closed(&self) -> bool {
         match self {
-            Self::Resting { .. } => false,
+            Self::BackingOff { .. } => false,
             Self::Loading { change, .. } | Self::Confirming { change, .. } => !change.is_open,
             Self::Draining { .. } | Self::Reporting { .. } | Self::Ordering { .. } => true,
         }
--- a/src/decision/relay/rollout_messages.rs
+++ b/src/decision/relay/rollout_messages.rs
@@ -9,52 +9,52 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RolloutSettings {
     /// Part of the servers that may load at once without slowing each other.
-    pub loading_part: f64,
+    pub loading_fraction: f64,
     /// Part of the servers that may be closed at once, those that load among them.
-    pub closed_part: f64,
+    pub closed_fraction: f64,
     /// Servers that may load at once whatever their number.
-    pub least_loading: usize,
+    pub min_loading: usize,
     /// Milliseconds that a server takes to load weights while few others do.
     pub load_ms: u64,
     /// Milliseconds by which a server's report lags.
     pub report_lag_ms: u64,
     /// Milliseconds between the notice that closes a server and the order: the way to all nodes.
-    pub notice_ms: u64,
+    pub notice_delay_ms: u64,
     /// Milliseconds after which streams that can go on elsewhere are taken off a closed server.
-    pub evict_ms: u64,
+    pub evict_after_ms: u64,
     /// Milliseconds for which a closed server's requests are waited for before it is ordered.
-    pub drain_ms: u64,
+    pub drain_timeout_ms: u64,
     /// Milliseconds until an order or report without an answer counts as lost.
     pub answer_timeout_ms: u64,
     /// Milliseconds between reports of a server that changes.
     pub report_period_ms: u64,
     /// Milliseconds after which runs on outdated weights are no longer waited for.
-    pub wait_limit_ms: u64,
+    pub max_run_wait_ms: u64,
     /// Milliseconds for which a server that does not answer is left alone.
     pub retry_ms: u64,
 }
 
 impl RolloutSettings {
     /// Returns the settings for so many nodes that notices and loads go over several of them.
-    pub fn many_nodes() -> Self {
-        Self { notice_ms: 300, evict_ms: 300, closed_part: 0.25, ..Self::default() }
+    pub fn for_many_nodes() -> Self {
+        Self { notice_delay_ms: 300, evict_after_ms: 300, closed_fraction: 0.25, ..Self::default() }
     }
 }
 
 impl Default for RolloutSettings {
     fn default() -> Self {
         Self {
-            loading_part: 0.2,
-            closed_part: 0.4,
-            least_loading: 2,
+            loading_fraction: 0.2,
+            closed_fraction: 0.4,
+            min_loading: 2,
             load_ms: 430,
             report_lag_ms: 200,
-            notice_ms: 60,
-            evict_ms: 250,
-            drain_ms: 1_500,
+            notice_delay_ms: 60,
+            evict_after_ms: 250,
+            drain_timeout_ms: 1_500,
             answer_timeout_ms: 250,
             report_period_ms: 60,
-            wait_limit_ms: 4_500,
+            max_run_wait_ms: 4_500,
             retry_ms: 700,
         }
     }
@@ -138,5 +138,5 @@
         revision: WeightsRevision,
     },
     /// The server does not answer: reopen it, it is tried again later.
-    GiveUp(ServerId),
+    Abandon(ServerId),
 }
--- a/src/decision/relay/server.rs
+++ b/src/decision/relay/server.rs
@@ -1,6 +1,6 @@
 //! Backend server as a node sees it.
 
-use super::health::{Health, ServerSigns, SilenceChange};
+use super::health::{Health, ServerContact, SilenceChange};
 use crate::types::{AvailabilityZone, InstanceId, ModelId, ServerId, ServiceId, WeightsRevision};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -10,20 +10,20 @@
 
 /// Time for which a server whose entry vanished without notice still gets requests that no other
 /// server can take: entries that lapse in an outage of the list are back within two seconds.
-const VANISHED_GRACE: Duration = Duration::from_millis(1_700);
+const MISSING_ENTRY_GRACE: Duration = Duration::from_millis(1_700);
 
 /// Time after which a partner's count shows what this node's requests went along with: nodes tell
 /// their loads several times as often as that.
-const HERD_PERIOD: Duration = Duration::from_millis(150);
+const UNREPORTED_DECAY_PERIOD: Duration = Duration::from_millis(150);
 
 /// Part of this node's newest requests that each other node is taken to have sent as well.
-const HERD_PART: f64 = 0.7;
+const UNREPORTED_FRACTION: f64 = 0.7;
 
 /// Time for which a partner's count of its requests holds.
-const PARTNER_LOAD_LIFETIME: Duration = Duration::from_millis(1_500);
+const PARTNER_UPDATE_LIFETIME: Duration = Duration::from_millis(1_500);
 
 /// Time after which a silent server is looked at again.
-const SILENCE_LOOK_PERIOD: Duration = Duration::from_millis(500);
+const SILENCE_RECHECK_PERIOD: Duration = Duration::from_millis(500);
 
 /// State that a server reports of itself.
 #[derive(Clone, Copy, Debug, Display, Eq, PartialEq)]
@@ -57,17 +57,17 @@
 }
 
 /// Priorities that are told apart; lower ones count as the last.
-const PRIORITIES: usize = 4;
+const PRIORITY_LEVELS: usize = 4;
 
 /// Prompt tokens that are not read yet, by the priority of their requests.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
-pub struct UnreadTokens([u32; PRIORITIES]);
+pub struct UnreadTokens([u32; PRIORITY_LEVELS]);
 
 impl UnreadTokens {
     /// Returns the tokens of one request.
     pub fn new(priority: u8, tokens: u32) -> Self {
-        let mut all = [0; PRIORITIES];
-        all[usize::from(priority).min(PRIORITIES - 1)] = tokens;
+        let mut all = [0; PRIORITY_LEVELS];
+        all[usize::from(priority).min(PRIORITY_LEVELS - 1)] = tokens;
         Self(all)
     }
 
@@ -135,7 +135,7 @@
 /// What a node tells of a server, for itself and the nodes for which it speaks.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(from = "PackedNews", into = "PackedNews")]
-pub struct ServerNews {
+pub struct ServerUpdate {
     /// Server.
     pub server: ServerId,
     /// Requests at the server.
@@ -149,34 +149,34 @@
 /// News as they go between nodes, without the names of their fields.
 type PackedNews = (ServerId, ServerLoad, Option<u32>, Option<u32>);
 
-impl From<PackedNews> for ServerNews {
+impl From<PackedNews> for ServerUpdate {
     fn from((server, load, heard_ms, awaited_ms): PackedNews) -> Self {
         Self { server, load, heard_ms, awaited_ms }
     }
 }
 
-impl From<ServerNews> for PackedNews {
-    fn from(news: ServerNews) -> Self {
-        (news.server, news.load, news.heard_ms, news.awaited_ms)
+impl From<ServerUpdate> for PackedNews {
+    fn from(update: ServerUpdate) -> Self {
+        (update.server, update.load, update.heard_ms, update.awaited_ms)
     }
 }
 
-impl ServerNews {
-    fn signs(&self, now: Instant) -> ServerSigns {
+impl ServerUpdate {
+    fn contact(&self, now: Instant) -> ServerContact {
         let since = |age_ms: u32| now.checked_sub(Duration::from_millis(age_ms.into()));
-        ServerSigns {
-            heard_at: self.heard_ms.and_then(since),
-            awaited_since: self.awaited_ms.and_then(since),
+        ServerContact {
+            last_contact_at: self.heard_ms.and_then(since),
+            unanswered_since: self.awaited_ms.and_then(since),
         }
     }
 }
 
 /// What a partner told of a server.
 #[derive(Clone, Copy, Debug)]
-struct ToldNews {
+struct PartnerUpdate {
     load: ServerLoad,
-    signs: ServerSigns,
-    holds_until: Instant,
+    contact: ServerContact,
+    expires_at: Instant,
 }
 
 /// Backend server.
@@ -189,13 +189,13 @@
     /// Health.
     pub health: Health,
     /// Requests of this node.
-    pub own_load: ServerLoad,
+    pub local_load: ServerLoad,
     /// Hash of the id, for rendezvous.
     pub id_hash: u64,
-    told: BTreeMap<InstanceId, ToldNews>,
-    newest_tokens: f64,
-    newest_at: Option<Instant>,
-    vanished_until: Option<Instant>,
+    partner_updates: BTreeMap<InstanceId, PartnerUpdate>,
+    recent_tokens: f64,
+    recent_at: Option<Instant>,
+    expires_at: Option<Instant>,
     closed_until: Option<Instant>,
     evicted_until: Option<Instant>,
     full_until: Option<Instant>,
@@ -209,11 +209,11 @@
             id_hash: xxhash_rust::xxh3::xxh3_64(entry.id.as_bytes()),
             entry,
             health: Health::default(),
-            own_load: ServerLoad::default(),
-            told: BTreeMap::new(),
-            newest_tokens: 0.0,
-            newest_at: None,
-            vanished_until: None,
+            local_load: ServerLoad::default(),
+            partner_updates: BTreeMap::new(),
+            recent_tokens: 0.0,
+            recent_at: None,
+            expires_at: None,
             closed_until: None,
             evicted_until: None,
             full_until: None,
@@ -224,7 +224,7 @@
     pub fn update(&mut self, entry: ServerEntry) {
         let is_same_run = self.entry.started_unix_ms == entry.started_unix_ms
             && self.entry.address == entry.address;
-        self.vanished_until = None;
+        self.expires_at = None;
         if is_same_run {
             for (model, revision) in &entry.weights {
                 let known = self.weights.entry(model.clone()).or_default();
@@ -240,19 +240,19 @@
     }
 
     /// Takes in that the server's entry vanished; returns whether it is kept for a while.
-    pub fn vanish(&mut self, now: Instant) -> bool {
-        self.vanished_until.get_or_insert(now + VANISHED_GRACE);
+    pub fn mark_entry_missing(&mut self, now: Instant) -> bool {
+        self.expires_at.get_or_insert(now + MISSING_ENTRY_GRACE);
         self.entry.state == ServerState::Ready
     }
 
     /// Whether the entry vanished and has not come back in time.
-    pub fn is_gone(&self, now: Instant) -> bool {
-        self.vanished_until.is_some_and(|until| until <= now)
+    pub fn has_expired(&self, now: Instant) -> bool {
+        self.expires_at.is_some_and(|until| until <= now)
     }
 
     /// Whether the entry has vanished.
-    pub fn is_vanished(&self) -> bool {
-        self.vanished_until.is_some()
+    pub fn is_entry_missing(&self) -> bool {
+        self.expires_at.is_some()
     }
 
     /// Keeps new requests away until `until`, while the server changes its weights; `evicts` takes
@@ -276,9 +276,9 @@
 
     /// Opens a server that did not answer the coordinator of a rollout; it counts as unreachable, since
     /// requests would get no answer either.
-    pub fn reopen_unanswered(&mut self, now: Instant) {
+    pub fn reopen_unresponsive(&mut self, now: Instant) {
         self.reopen();
-        self.health.note_unreachable(now);
+        self.health.record_unreachable(now);
     }
 
     /// Keeps new requests away until `until`, after the server rejected one as full.
@@ -292,88 +292,90 @@
     }
 
     /// Takes in what a partner tells; returns what that changes about the server's silence.
-    pub fn set_told(
+    pub fn apply_update(
         &mut self,
         partner: InstanceId,
-        news: &ServerNews,
+        update: &ServerUpdate,
         now: Instant,
     ) -> Option<SilenceChange> {
-        let holds_until = now + PARTNER_LOAD_LIFETIME;
-        self.told
-            .insert(partner, ToldNews { load: news.load, signs: news.signs(now), holds_until });
-        let others = self.signs_of_others(None, now);
-        self.health.note_silence(others, now)
+        let expires_at = now + PARTNER_UPDATE_LIFETIME;
+        self.partner_updates.insert(
+            partner,
+            PartnerUpdate { load: update.load, contact: update.contact(now), expires_at },
+        );
+        let others = self.partner_contact(None, now);
+        self.health.update_silence(others, now)
     }
 
     /// Returns what this node and all partners but `except` know.
-    pub fn news_without(&self, except: Option<&InstanceId>, now: Instant) -> ServerNews {
-        let mut signs = self.health.signs();
-        signs.add(self.signs_of_others(except, now));
-        self.news(self.load_without(except, now), signs, now)
+    pub fn update_without(&self, except: Option<&InstanceId>, now: Instant) -> ServerUpdate {
+        let mut contact = self.health.contact();
+        contact.merge(self.partner_contact(except, now));
+        self.build_update(self.load_without(except, now), contact, now)
     }
 
     /// Returns what this node alone knows.
-    pub fn own_news(&self, now: Instant) -> ServerNews {
-        self.news(self.own_load, self.health.signs(), now)
+    pub fn local_update(&self, now: Instant) -> ServerUpdate {
+        self.build_update(self.local_load, self.health.contact(), now)
     }
 
-    fn news(&self, load: ServerLoad, signs: ServerSigns, now: Instant) -> ServerNews {
+    fn build_update(&self, load: ServerLoad, contact: ServerContact, now: Instant) -> ServerUpdate {
         let age_ms = |at: Instant| {
             u32::try_from(now.saturating_duration_since(at).as_millis()).unwrap_or(u32::MAX)
         };
-        ServerNews {
+        ServerUpdate {
             server: self.entry.id.clone(),
             load,
-            heard_ms: signs.heard_at.map(age_ms),
-            awaited_ms: signs.awaited_since.map(age_ms),
+            heard_ms: contact.last_contact_at.map(age_ms),
+            awaited_ms: contact.unanswered_since.map(age_ms),
         }
     }
 
     /// Whether the server owes answers, to this node or others, and has fallen silent.
     pub fn is_silent(&self, now: Instant) -> bool {
-        self.health.is_silent(self.signs_of_others(None, now), now)
+        self.health.is_silent(self.partner_contact(None, now), now)
     }
 
     /// Returns until when the server's health keeps new requests away.
     pub fn suspended_until(&self, now: Instant) -> Option<Instant> {
         let suspended = self.health.suspended_until(now);
-        suspended.or_else(|| self.is_silent(now).then_some(now + SILENCE_LOOK_PERIOD))
+        suspended.or_else(|| self.is_silent(now).then_some(now + SILENCE_RECHECK_PERIOD))
     }
 
-    fn signs_of_others(&self, except: Option<&InstanceId>, now: Instant) -> ServerSigns {
-        let mut signs = ServerSigns::default();
-        for (partner, told) in &self.told {
-            if now < told.holds_until && Some(partner) != except {
-                signs.add(told.signs);
+    fn partner_contact(&self, except: Option<&InstanceId>, now: Instant) -> ServerContact {
+        let mut contact = ServerContact::default();
+        for (partner, update) in &self.partner_updates {
+            if now < update.expires_at && Some(partner) != except {
+                contact.merge(update.contact);
             }
         }
-        signs
+        contact
     }
 
     /// Takes in that this node sends a request.
-    pub fn add_own(&mut self, load: ServerLoad, now: Instant) {
-        self.own_load.add(load);
+    pub fn add_local_load(&mut self, load: ServerLoad, now: Instant) {
+        self.local_load.add(load);
         let tokens = load.unread_tokens.ahead_of(u8::MAX);
-        self.newest_tokens = self.decayed_newest(now) + f64::from(tokens);
-        self.newest_at = Some(now);
+        self.recent_tokens = self.decayed_recent_tokens(now) + f64::from(tokens);
+        self.recent_at = Some(now);
     }
 
     /// Returns the tokens that other nodes have probably sent to this server besides what they
     /// told: they see the same server as the best one at the same time.
-    pub fn herd_tokens(&self, now: Instant) -> f64 {
-        let others = self.told.values().filter(|told| now < told.holds_until).count();
-        self.decayed_newest(now) * others as f64 * HERD_PART
+    pub fn unreported_tokens(&self, now: Instant) -> f64 {
+        let others = self.partner_updates.values().filter(|update| now < update.expires_at).count();
+        self.decayed_recent_tokens(now) * others as f64 * UNREPORTED_FRACTION
     }
 
-    fn decayed_newest(&self, now: Instant) -> f64 {
-        let Some(newest_at) = self.newest_at else { return 0.0 };
-        let age = now.saturating_duration_since(newest_at);
-        self.newest_tokens * (-age.as_secs_f64() / HERD_PERIOD.as_secs_f64()).exp()
+    fn decayed_recent_tokens(&self, now: Instant) -> f64 {
+        let Some(recent_at) = self.recent_at else { return 0.0 };
+        let age = now.saturating_duration_since(recent_at);
+        self.recent_tokens * (-age.as_secs_f64() / UNREPORTED_DECAY_PERIOD.as_secs_f64()).exp()
     }
 
     /// Drops what a partner told of its requests.
-    pub fn forget_partner(&mut self, partner: &InstanceId) {
-        self.told.remove(partner);
+    pub fn remove_partner(&mut self, partner: &InstanceId) {
+        self.partner_updates.remove(partner);
     }
 
     /// Returns the load of all nodes as far as it is known.
@@ -383,10 +385,10 @@
 
     /// Returns the load of this node and of what all partners but `except` told.
     pub fn load_without(&self, except: Option<&InstanceId>, now: Instant) -> ServerLoad {
-        let mut total = self.own_load;
-        for (partner, told) in &self.told {
-            if now < told.holds_until && Some(partner) != except {
-                total.add(told.load);
+        let mut total = self.local_load;
+        for (partner, update) in &self.partner_updates {
+            if now < update.expires_at && Some(partner) != except {
+                total.add(update.load);
             }
         }
         total
--- a/src/decision/relay/store_link.rs
+++ b/src/decision/relay/store_link.rs
@@ -9,7 +9,7 @@
 use std::time::Instant;
 
 /// Part of the link's capacity in each direction that all nodes together plan to use.
-const USED_PART: f64 = 0.9;
+const USED_FRACTION: f64 = 0.9;
 
 /// Seconds of the link that all nodes together may use at once in each direction.
 const BURST_S: f64 = 1.0;
@@ -76,5 +76,5 @@
 /// Returns the seconds of the link that a node may use in a second, and at once.
 fn share(nodes: u32) -> (f64, f64) {
     let nodes = f64::from(nodes.max(1));
-    (USED_PART / nodes, BURST_S / nodes)
+    (USED_FRACTION / nodes, BURST_S / nodes)
 }
--- a/src/links/message.rs
+++ b/src/links/message.rs
@@ -8,7 +8,7 @@
 use crate::decision::relay::RecordTopic;
 use crate::decision::relay::load_exchange::RelayLoad;
 use crate::decision::relay::register_lease::RegisterRecord;
-use crate::decision::relay::replica::TopicPart;
+use crate::decision::relay::replica::TopicDelta;
 use crate::types::{LogOffset, ModelId, ServerId, WeightsRevision};
 use bytes::Bytes;
 use ciborium::Value;
@@ -54,7 +54,7 @@
     /// Asks for the records of a topic from an offset on.
     RecordsRequest(TopicDigest),
     /// Keyed records.
-    Records(Box<TopicPart>),
+    Records(Box<TopicDelta>),
     /// Requests of the sender at backend servers, and prefixes that it had saved.
     RelayLoad(RelayLoad),
     /// State of a rollout of weights.
--- a/src/relay/attempt.rs
+++ b/src/relay/attempt.rs
@@ -79,15 +79,17 @@
         let (server, load) = (choice.server.clone(), choice.load);
         let now = Instant::now();
         let mut fleet = context.fleet();
-        fleet.begin(&server, attempt, load, now);
-        if let Some(prompt) = request.facts.prompt.as_ref().filter(|prompt| prompt.is_long_run()) {
-            fleet.long_tokens.count(prompt.expected_output_tokens(), now);
+        fleet.begin_request(&server, attempt, load, now);
+        if let Some(prompt) =
+            request.facts.prompt.as_ref().filter(|prompt| prompt.is_decode_heavy())
+        {
+            fleet.decode_rate.count(prompt.expected_output_tokens(), now);
         }
         if let Some(prompt) = &choice.prompt {
-            let is_told = request.facts.prompt.as_ref().is_some_and(Prompt::is_worth_keeping);
-            fleet.kept.add_held(&prompt.keys, &server, is_told, now);
+            let is_announced = request.facts.prompt.as_ref().is_some_and(Prompt::is_worth_storing);
+            fleet.prefixes.add_cached(&prompt.keys, &server, is_announced, now);
             if prompt.save_to.is_some() {
-                fleet.kept.add_saving(&prompt.keys, now);
+                fleet.prefixes.mark_saving(&prompt.keys, now);
             }
             if let Some(store) = &mut fleet.kv_store {
                 store.take(prompt.fetch_s, prompt.save_s, now);
@@ -101,11 +103,11 @@
     pub fn note_heard(&mut self) {
         let mut fleet = self.context.fleet();
         if let Some(server) = fleet.server_mut(&self.server) {
-            server.health.note_heard(Instant::now());
+            server.health.record_contact(Instant::now());
         }
         if !self.is_read {
             self.is_read = true;
-            fleet.note_first_answer(&self.server, self.attempt, self.load.unread_tokens);
+            fleet.finish_prefill(&self.server, self.attempt, self.load.unread_tokens);
             self.load.unread_tokens = UnreadTokens::default();
         }
     }
@@ -113,14 +115,14 @@
     /// Takes in whether the server did what it was asked, and how much later than expected.
     pub fn note_outcome(&self, succeeded: bool, slower_by_ms: f64) {
         if let Some(server) = self.context.fleet().server_mut(&self.server) {
-            server.health.note_outcome(succeeded, slower_by_ms, Instant::now());
+            server.health.record_outcome(succeeded, slower_by_ms, Instant::now());
         }
     }
 }
 
 impl Drop for Ticket {
     fn drop(&mut self) {
-        self.context.fleet().end(&self.server, self.attempt, self.load);
+        self.context.fleet().end_request(&self.server, self.attempt, self.load);
     }
 }
 
@@ -136,7 +138,7 @@
     let mut ticket = Ticket::new(Arc::clone(context), request, choice);
     let outgoing = outgoing_request(context, request, choice, last_event_id, sent_at);
     let exchange = context.pool.send(&choice.server, choice.address, outgoing, request.deadline);
-    let sent = if request.route.repetition.is_repeatable() && !is_last {
+    let sent = if request.route.retry_safety.is_retryable() && !is_last {
         exchange.or(watch(context, request, &choice.server, sent_at)).await
     } else {
         exchange.await
@@ -170,7 +172,7 @@
     if succeeded
         && let Some(prompt) = choice.prompt.as_ref().filter(|prompt| prompt.save_to.is_some())
     {
-        context.fleet().kept.add_stored(&prompt.keys, Instant::now());
+        context.fleet().prefixes.add_stored(&prompt.keys, Instant::now());
         context.tell_control(RelayEvent::Stored);
     }
     AttemptEnd::Answered(Box::new(Answer { exchange, facts, ticket }))
@@ -214,7 +216,7 @@
     sent_at: Instant,
 ) -> Result<T, PeerError> {
     let objective = Duration::from_millis(request.route.latency_objective_ms.max(1));
-    let is_stream = request.route.repetition.is_stream();
+    let is_stream = request.route.retry_safety.is_stream();
     loop {
         Timer::after(SILENCE_CHECK_PERIOD).await;
         let now = Instant::now();
@@ -257,7 +259,7 @@
     let Some(until) = context
         .fleet()
         .server_mut(&choice.server)
-        .map(|server| server.health.note_unreachable(now))
+        .map(|server| server.health.record_unreachable(now))
     else {
         return;
     };
@@ -318,7 +320,7 @@
         if facts.weights.is_none() {
             let model = request.facts.prompt.as_ref().map(|prompt| prompt.model.clone());
             model.iter().for_each(|model| {
-                context.fleet().note_other_weights(&choice.server, model, prompt.weights);
+                context.fleet().record_weights_mismatch(&choice.server, model, prompt.weights);
             });
         }
         return NotRunReason::OtherWeights;
--- a/src/relay/control/follow.rs
+++ b/src/relay/control/follow.rs
@@ -2,7 +2,7 @@
 
 use super::RelayEvent;
 use super::state::ControlState;
-use crate::decision::relay::{NextRead, RecordTopic, RecordWatch};
+use crate::decision::relay::{NextRead, ReadSchedule, RecordTopic};
 use crate::metrics::labels::ReasonLabels;
 use crate::ports::{AnnouncedNode, RecordPage};
 use crate::relay::RelayContext;
@@ -70,7 +70,7 @@
     }
 }
 
-async fn follow(context: Arc<RelayContext>, watch: Rc<RefCell<RecordWatch>>, topic: RecordTopic) {
+async fn follow(context: Arc<RelayContext>, watch: Rc<RefCell<ReadSchedule>>, topic: RecordTopic) {
     let mut retry = Retry::new(match topic {
         RecordTopic::Operator => "follow_operator",
         RecordTopic::Servers => "follow_servers",
@@ -92,11 +92,11 @@
         match step {
             Ok(next) => {
                 from = next;
-                watch.borrow_mut().note_answered(topic, Instant::now());
+                watch.borrow_mut().record_answer(topic, Instant::now());
                 retry.succeeded();
             }
             Err(error) => {
-                watch.borrow_mut().note_failed(topic, Instant::now());
+                watch.borrow_mut().record_failure(topic, Instant::now());
                 retry.failed(&context, &error).await;
             }
         }
--- a/src/relay/control/loads.rs
+++ b/src/relay/control/loads.rs
@@ -9,7 +9,7 @@
 impl ControlState {
     /// Tells the neighbours of the requests at the servers if that is due.
     pub(super) fn tick_loads(&mut self, now: Instant) {
-        if self.loads.take_due(self.rollout.is_active(), now) {
+        if self.loads.start_round_if_due(self.rollout.is_active(), now) {
             self.send_load(now);
         }
     }
@@ -17,11 +17,11 @@
     /// Tells the neighbours of the requests at the servers.
     pub(super) fn send_load(&mut self, now: Instant) {
         let mut fleet = self.context.fleet();
-        self.loads.add_new_prefixes(&mut fleet);
+        self.loads.queue_new_prefixes(&mut fleet);
         let peers: Vec<InstanceId> = self.loads.neighbours().cloned().collect();
         let mut messages = Vec::with_capacity(peers.len());
         for peer in peers.into_iter().filter(|peer| self.partners.is_linked(peer)) {
-            if let Some(load) = self.loads.outgoing(&peer, &fleet, now) {
+            if let Some(load) = self.loads.next_message(&peer, &fleet, now) {
                 messages.push((peer, load));
             }
         }
--- a/src/relay/control/partners.rs
+++ b/src/relay/control/partners.rs
@@ -189,7 +189,7 @@
                     None => RecordSource::Copy(peer),
                     Some(_) => RecordSource::Partner(peer),
                 };
-                let news = self.replica.apply_part(*part);
+                let news = self.replica.apply_delta(*part);
                 self.apply_news(&news, &source, now);
                 self.note_listed();
             }
@@ -275,7 +275,7 @@
 
     /// Sends a partner what it lacks, in parts that fit into messages.
     fn send_records(&self, peer: &InstanceId, digest: TopicDigest) {
-        let Some(mut part) = self.replica.part(digest.topic, digest.known_below) else { return };
+        let Some(mut part) = self.replica.delta(digest.topic, digest.known_below) else { return };
         part.records.sort_by_key(|record| record.offset);
         let size = |value: &Option<Bytes>| value.as_ref().map_or(0, Bytes::len);
         let mut rest = std::mem::take(&mut part.records).into_iter().peekable();
--- a/src/relay/control/records.rs
+++ b/src/relay/control/records.rs
@@ -122,7 +122,7 @@
             Ok(OperatorRecord::Weights { model, revision }) => {
                 let mut fleet = self.context.fleet();
                 let is_news = if source.is_of_unknown_age() {
-                    fleet.set_earlier_target(model.clone(), revision, now)
+                    fleet.set_target_of_unknown_age(model.clone(), revision, now)
                 } else {
                     fleet.set_target(model.clone(), revision, now)
                 };
--- a/src/relay/control/rollout/lease.rs
+++ b/src/relay/control/rollout/lease.rs
@@ -36,7 +36,7 @@
         }
         if self.rollout.lease.known().is_none() {
             self.read_register(now);
-        } else if self.rollout.lease.replaceable(now).is_some() {
+        } else if self.rollout.lease.replaceable_number(now).is_some() {
             self.replace_register(now);
         }
     }
@@ -68,7 +68,9 @@
 
     pub(super) fn replace_register(&mut self, now: Instant) {
         let is_busy = self.rollout.register_busy_until.is_some_and(|until| now < until);
-        let Some(number) = self.rollout.lease.replaceable(now).filter(|_| !is_busy) else { return };
+        let Some(number) = self.rollout.lease.replaceable_number(now).filter(|_| !is_busy) else {
+            return;
+        };
         self.rollout.register_busy_until = Some(now + REGISTER_TIMEOUT);
         self.rollout.next_register_at = now + REGISTER_RETRY;
         let context = Arc::clone(&self.context);
@@ -108,7 +110,7 @@
         match outcome {
             Ok(Replacement::Done(number)) => {
                 log::info!("event=lease_taken fencing_number={number}");
-                self.rollout.lease.take(number, sent_at);
+                self.rollout.lease.acquire(number, sent_at);
                 self.rollout.last_coordinator = Some(self.rollout.instance.clone());
                 self.tick_rollouts(now);
             }
--- a/src/relay/control/rollout/mod.rs
+++ b/src/relay/control/rollout/mod.rs
@@ -6,7 +6,7 @@
 
 use super::state::ControlState;
 use crate::decision::relay::RegisterLease;
-use crate::decision::relay::heard_notices::HeardNotices;
+use crate::decision::relay::received_notices::ReceivedNotices;
 use crate::decision::relay::rollout::{Rollout, RolloutServer, RolloutSettings};
 use crate::decision::relay::server::{Server, ServerState};
 use crate::types::{InstanceId, ModelId, WeightsRevision};
@@ -25,7 +25,7 @@
     next_notice_at: Instant,
     /// Number of the next notice.
     notice_number: u64,
-    heard_notices: HeardNotices,
+    heard_notices: ReceivedNotices,
     register_busy_until: Option<Instant>,
     next_register_at: Instant,
 }
@@ -43,7 +43,7 @@
             last_coordinator: None,
             next_notice_at: now,
             notice_number: 0,
-            heard_notices: HeardNotices::default(),
+            heard_notices: ReceivedNotices::default(),
             register_busy_until: None,
             next_register_at: now,
         }
@@ -56,7 +56,7 @@
 
     /// Drops the lease, since its deadline may have passed unnoticed.
     pub(super) fn drop_lease(&mut self) {
-        self.lease.drop_held();
+        self.lease.drop_lease();
         self.rollouts.clear();
     }
 }
@@ -73,7 +73,7 @@
             return;
         }
         self.rollout.needed_since.get_or_insert(now);
-        if self.rollout.lease.held(now).is_none() {
+        if self.rollout.lease.fencing_number(now).is_none() {
             self.rollout.rollouts.clear();
             self.try_lease(now);
             return;
@@ -128,7 +128,7 @@
             None => {
                 log::info!("event=rollout_started model={model} revision={revision}");
                 let settings = if self.loads.is_tree() {
-                    RolloutSettings::many_nodes()
+                    RolloutSettings::for_many_nodes()
                 } else {
                     RolloutSettings::default()
                 };
@@ -143,7 +143,7 @@
 /// does.
 fn is_takeable(server: &Server) -> bool {
     let is_suspended = server.suspended_until(Instant::now()).is_some();
-    server.entry.state == ServerState::Ready && !server.is_vanished() && !is_suspended
+    server.entry.state == ServerState::Ready && !server.is_entry_missing() && !is_suspended
 }
 
 fn is_older(server: &Server, model: &ModelId, revision: WeightsRevision) -> bool {
--- a/src/relay/control/rollout/notices.rs
+++ b/src/relay/control/rollout/notices.rs
@@ -1,7 +1,7 @@
 //! Notices by which a coordinator tells all nodes which servers are closed and which have changed.
 
 use super::RolloutControl;
-use crate::decision::relay::heard_notices::HeardNotice;
+use crate::decision::relay::received_notices::NoticeOrder;
 use crate::links::PartnerMessage;
 use crate::links::message::RolloutNotice;
 use crate::relay::control::state::ControlState;
@@ -53,10 +53,10 @@
         if notice.lease.holder == self.rollout.instance {
             return;
         }
-        match self.rollout.heard_notices.hear(notice.lease.number, notice.number) {
-            HeardNotice::Again => return,
-            HeardNotice::Newest => {}
-            HeardNotice::Late => {
+        match self.rollout.heard_notices.record(notice.lease.number, notice.number) {
+            NoticeOrder::Duplicate => return,
+            NoticeOrder::Newest => {}
+            NoticeOrder::Late => {
                 // What changed still holds; which servers are closed has been told since.
                 notice.closed.clear();
                 notice.evicted.clear();
@@ -94,7 +94,7 @@
         }
         for id in &notice.reopened {
             if let Some(server) = fleet.server_mut(id) {
-                server.reopen_unanswered(now);
+                server.reopen_unresponsive(now);
             }
         }
         for id in &notice.closed {
--- a/src/relay/control/rollout/orders.rs
+++ b/src/relay/control/rollout/orders.rs
@@ -31,7 +31,7 @@
             log::info!("event=report_failed server={server} {error}");
         }
         let Some(rollout) = self.rollout.rollouts.get_mut(model) else { return };
-        let commands = rollout.reported(server, report.as_ref().ok(), now);
+        let commands = rollout.on_report(server, report.as_ref().ok(), now);
         self.carry_out(model, commands, now);
     }
 
@@ -57,7 +57,7 @@
             return;
         }
         let Some(rollout) = self.rollout.rollouts.get_mut(model) else { return };
-        let commands = rollout.ordered(server, outcome, now);
+        let commands = rollout.on_order_outcome(server, outcome, now);
         self.carry_out(model, commands, now);
     }
 
@@ -80,7 +80,9 @@
                 RolloutCommand::Evict(_) => tells = true,
                 RolloutCommand::Report(server) => self.ask_report(model, server),
                 RolloutCommand::Order { server, accepted_orders, runs } => {
-                    let Some(fencing_number) = self.rollout.lease.held(now) else { continue };
+                    let Some(fencing_number) = self.rollout.lease.fencing_number(now) else {
+                        continue;
+                    };
                     let Some(rollout) = self.rollout.rollouts.get(model) else { continue };
                     let order = WeightsOrder {
                         server,
@@ -100,7 +102,7 @@
                     notice.changed.push((server, revision));
                     tells = true;
                 }
-                RolloutCommand::GiveUp(server) => {
+                RolloutCommand::Abandon(server) => {
                     log::info!("event=server_reopened server={server} reason=no_answer");
                     notice.reopened.push(server);
                     tells = true;
--- a/src/relay/control/state.rs
+++ b/src/relay/control/state.rs
@@ -3,7 +3,7 @@
 use super::partners::Partners;
 use super::rollout::RolloutControl;
 use super::{RelayEvent, follow, kv_store, partners};
-use crate::decision::relay::{LoadExchange, RecordWatch, Replica, StoreLink};
+use crate::decision::relay::{LoadExchange, ReadSchedule, Replica, StoreLink};
 use crate::links::Identity;
 use crate::relay::RelayContext;
 use crate::relay::suspend_clock::SuspendClock;
@@ -49,7 +49,7 @@
     pub(super) executor: Weak<LocalExecutor<'static>>,
     pub(super) replica: Replica,
     /// Reads of the topics, for the tasks that follow them.
-    pub(super) record_watch: Rc<RefCell<RecordWatch>>,
+    pub(super) record_watch: Rc<RefCell<ReadSchedule>>,
     pub(super) partners: Partners,
     pub(super) loads: LoadExchange,
     pub(super) rollout: RolloutControl,
@@ -119,7 +119,7 @@
     fn tick_period(&self) -> Duration {
         if self.rollout.is_active() {
             ROLLOUT_TICK_PERIOD
-        } else if self.loads.is_inner() {
+        } else if self.loads.forwards_loads() {
             SHORT_TICK_PERIOD
         } else {
             TICK_PERIOD
@@ -166,7 +166,7 @@
     }
 
     fn tick(&mut self, now: Instant) {
-        let gone = self.context.fleet().drop_gone(now);
+        let gone = self.context.fleet().remove_expired(now);
         for server in gone {
             log::info!("event=server_gone server={server} reason=entry_not_back");
             self.context.pool.close_server(&server);
@@ -194,7 +194,7 @@
         fleet.kv_store =
             store.map(|store| StoreLink::new(store, token_bytes.unwrap_or_default(), nodes, now));
         if is_emptied {
-            fleet.kept.forget_stored();
+            fleet.prefixes.clear_stored();
         }
     }
 
--- a/src/relay/exchange.rs
+++ b/src/relay/exchange.rs
@@ -143,7 +143,7 @@
     context: &Arc<RelayContext>,
     request: &Arc<RelayedRequest>,
 ) -> Result<Reply, Refusal> {
-    context.budget().count_first(&request.service, Instant::now());
+    context.budget().count_first_attempt(&request.service, Instant::now());
     let mut attempts = Attempts::default();
     loop {
         let choice = choose(context, request, &attempts).await?;
@@ -160,7 +160,7 @@
                 attempts.try_resend(context, request, &reason.to_string())
             }
             AttemptEnd::Unknown(error) => {
-                let is_repeatable = request.route.repetition.is_repeatable();
+                let is_repeatable = request.route.retry_safety.is_retryable();
                 if !is_repeatable || !attempts.try_resend(context, request, "unknown") {
                     return Err(unknown_refusal(request, &error));
                 }
@@ -187,11 +187,11 @@
     received: Answer,
 ) -> Result<Option<Reply>, Refusal> {
     let is_failure = received.exchange.status.is_server_error();
-    let is_repeatable = request.route.repetition.is_repeatable();
+    let is_repeatable = request.route.retry_safety.is_retryable();
     if is_failure && is_repeatable && attempts.try_resend(context, request, "server_error") {
         return Ok(None);
     }
-    if !is_failure && request.route.repetition.is_stream() {
+    if !is_failure && request.route.retry_safety.is_stream() {
         return Ok(Some(stream::answer(context, request, attempts.clone(), received)));
     }
     match answer(context, request, received).await {
@@ -249,7 +249,7 @@
     has_run: bool,
     now: Instant,
 ) -> Result<(), Refusal> {
-    match request.admission(has_run, now).refused_until(choice.expected_ms, now) {
+    match request.admission(has_run, now).refusal_retry_at(choice.expected_ms, now) {
         None => Ok(()),
         Some(retry_at) => {
             log::info!(
@@ -285,7 +285,7 @@
         prompt.is_some_and(|prompt| prompt.fetch_from.is_some()),
         prompt.is_some_and(|prompt| prompt.save_to.is_some()),
         declared.map_or(0, Prompt::shared_tokens),
-        declared.map_or(0, Prompt::own_tokens),
+        declared.map_or(0, Prompt::unshared_tokens),
         declared.map_or(0, Prompt::expected_output_tokens),
         request.age_ms()
     );
--- a/src/relay/request.rs
+++ b/src/relay/request.rs
@@ -5,7 +5,7 @@
 use crate::adapters::deadline::within;
 use crate::decision::poison::{Fingerprint, Suspicion};
 use crate::decision::relay::configuration::{Caller, Workspace};
-use crate::decision::relay::{AdmissionRequest, Configuration, Route, Wanted};
+use crate::decision::relay::{AdmissionRequest, Configuration, Route, ServerQuery};
 use crate::ports::RequestFacts;
 use crate::types::{RequestId, ServerId, ServiceId};
 use bytes::{Bytes, BytesMut};
@@ -67,27 +67,27 @@
     /// Returns the priority with which servers are to take it, 0 is the highest.
     pub fn priority(&self) -> u8 {
         let own = self.workspace.as_ref().and_then(|workspace| workspace.priority);
-        self.admission(false, self.arrived_at).priority(own.unwrap_or(self.route.priority))
+        self.admission(false, self.arrived_at).server_priority(own.unwrap_or(self.route.priority))
     }
 
     /// Returns what decides its admission at `now`; `has_run` tells whether a server ran it in part.
-    pub fn admission(&self, has_run: bool, now: Instant) -> AdmissionRequest {
+    pub fn admission(&self, has_started: bool, now: Instant) -> AdmissionRequest {
         let remaining = self.deadline.saturating_duration_since(now);
         AdmissionRequest {
             remaining_ms: remaining.as_secs_f64() * 1_000.0,
-            patience_ms: self.route.timeout_ms as f64,
-            objective_ms: self.route.latency_objective_ms as f64,
-            has_run,
+            timeout_ms: self.route.timeout_ms as f64,
+            latency_objective_ms: self.route.latency_objective_ms as f64,
+            has_started,
         }
     }
 
     /// Returns what decides the choice of a server.
-    pub fn wanted<'a>(&'a self, tried: &'a [ServerId]) -> Wanted<'a> {
+    pub fn wanted<'a>(&'a self, tried: &'a [ServerId]) -> ServerQuery<'a> {
         let isolated = self.workspace.as_ref().filter(|workspace| workspace.is_isolated);
-        Wanted {
+        ServerQuery {
             service: &self.service,
             prompt: self.facts.prompt.as_ref(),
-            wall: isolated.map(|workspace| workspace.name.as_str()),
+            isolated_workspace: isolated.map(|workspace| workspace.name.as_str()),
             priority: self.priority(),
             tried,
         }
--- a/src/relay/stream.rs
+++ b/src/relay/stream.rs
@@ -9,7 +9,7 @@
 use super::request::{RelayedRequest, end_to_end_headers};
 use crate::adapters::deadline::within;
 use crate::adapters::http_server::{BrokenBody, Reply};
-use crate::decision::relay::{Choice, EventSplitter, Repetition};
+use crate::decision::relay::{Choice, EventSplitter, RetrySafety};
 use crate::types::PeerError;
 use bytes::Bytes;
 use futures_lite::stream::unfold;
@@ -64,7 +64,7 @@
     context.metrics.observe_first_answer(&request.route.name, request.arrived_at);
     let status = received.exchange.status;
     let headers = end_to_end_headers(received.exchange.headers.clone());
-    let is_resumable = request.route.repetition == Repetition::ResumableStream;
+    let is_resumable = request.route.retry_safety == RetrySafety::ResumableStream;
     let relayed = RelayedStream {
         context: Arc::clone(context),
         request: Arc::clone(request),
@@ -156,7 +156,7 @@
             keep(&self.context, exchange, &facts);
             self.log("complete", &ticket.server);
         }
-        let rest = self.splitter.as_mut().map(EventSplitter::take_rest);
+        let rest = self.splitter.as_mut().map(EventSplitter::take_partial);
         rest.filter(|rest| !rest.is_empty())
     }
 
@@ -214,7 +214,7 @@
     /// Drops what came behind the last whole event of a run that does not go on.
     fn drop_rest(&mut self) {
         if let Some(splitter) = &mut self.splitter {
-            splitter.take_rest();
+            splitter.take_partial();
         }
     }
 
--- a/tests/relay/choose.rs
+++ b/tests/relay/choose.rs
@@ -1,8 +1,10 @@
 //! Where requests go: homes that all nodes agree on, spill under load, walls, and outdated weights.
 
 use super::fixture::*;
-use coriandertide::decision::relay::server::{ServerLoad, ServerNews};
-use coriandertide::decision::relay::{Fleet, ServerEntry, ServerState, UnavailableReason, Wanted};
+use coriandertide::decision::relay::server::{ServerLoad, ServerUpdate};
+use coriandertide::decision::relay::{
+    Fleet, ServerEntry, ServerQuery, ServerState, UnavailableReason,
+};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::time::Instant;
@@ -36,8 +38,9 @@
     let now = Instant::now();
     let mut fleet = fleet(12, 1);
     // 46 runs of 290 tokens a second keep about four servers busy.
-    fleet.long_tokens.set_partner("other".into(), 46.0 * 290.0, now);
-    let runs: Vec<_> = (0..100).map(|i| choose(&fleet, &long_run(i, i), now).server).collect();
+    fleet.decode_rate.set_partner_rate("other".into(), 46.0 * 290.0, now);
+    let runs: Vec<_> =
+        (0..100).map(|i| choose(&fleet, &decode_heavy_prompt(i, i), now).server).collect();
     let prompts: Vec<_> =
         (0..100).map(|i| choose(&fleet, &long_prompt(i, i), now).server).collect();
     assert!(runs.iter().all(|server| !prompts.contains(server)));
@@ -52,7 +55,7 @@
     let prompt = long_prompt(7, 1);
     let home = choose(&fleet, &prompt, now);
     let keys = &home.prompt.as_ref().unwrap().keys;
-    fleet.kept.add_held(keys, &home.server, true, now);
+    fleet.prefixes.add_cached(keys, &home.server, true, now);
     load(&mut fleet, &home.server, 20_000, now);
     let spill = choose(&fleet, &prompt, now);
     assert_ne!(spill.server, home.server);
@@ -66,7 +69,7 @@
     let mut fleet = fleet(12, 1);
     let prompt = long_prompt(7, 1);
     let home = choose(&fleet, &prompt, now);
-    fleet.kept.add_held(&home.prompt.as_ref().unwrap().keys, &home.server, true, now);
+    fleet.prefixes.add_cached(&home.prompt.as_ref().unwrap().keys, &home.server, true, now);
     load(&mut fleet, &home.server, 2_000, now);
     assert_eq!(choose(&fleet, &prompt, now).server, home.server);
 }
@@ -87,7 +90,7 @@
     let prompt = long_prompt(7, 1);
     let first = choose(&fleet, &prompt, now).prompt.unwrap();
     assert!(first.save_to.is_some());
-    fleet.kept.add_stored(&first.keys, now);
+    fleet.prefixes.add_stored(&first.keys, now);
     let fetching = choose(&fleet, &prompt, now).prompt.unwrap();
     assert!(fetching.fetch_from.is_some() && fetching.fetch_s > 0.0);
     fleet.kv_store.as_mut().unwrap().take(10.0, 0.0, now);
@@ -101,10 +104,10 @@
 fn cache_names_differ_by_weights_and_by_wall() {
     let now = Instant::now();
     let prompt = long_prompt(7, 1);
-    let salt = |weights, wall| {
+    let salt = |weights, isolated_workspace| {
         let fleet = fleet(3, weights);
-        let wanted = Wanted { wall, ..wanted(&prompt) };
-        fleet.choose(wanted, now).unwrap().prompt.unwrap().cache_salt
+        let query = ServerQuery { isolated_workspace, ..query(&prompt) };
+        fleet.choose(query, now).unwrap().prompt.unwrap().cache_salt
     };
     let salts = [salt(1, None), salt(2, None), salt(1, Some("a")), salt(1, Some("b"))];
     let distinct: std::collections::BTreeSet<_> = salts.iter().collect();
@@ -120,8 +123,8 @@
     // A later revision does not give servers that are two behind more time.
     fleet.set_target(MODEL, 3, now + ms(4_000));
     let prompt = long_prompt(7, 1);
-    assert!(fleet.choose(wanted(&prompt), now + ms(5_000)).is_ok());
-    let refused = fleet.choose(wanted(&prompt), now + ms(6_100)).unwrap_err();
+    assert!(fleet.choose(query(&prompt), now + ms(5_000)).is_ok());
+    let refused = fleet.choose(query(&prompt), now + ms(6_100)).unwrap_err();
     assert_eq!(refused.reason, UnavailableReason::OutdatedWeights);
     fleet.set_weights(&"s1".into(), &MODEL, 3);
     assert_eq!(choose(&fleet, &prompt, now + ms(6_100)).server, "s1");
@@ -133,10 +136,10 @@
 fn a_node_that_does_not_know_how_old_newer_weights_are_avoids_outdated_ones_sooner() {
     let now = Instant::now() + ms(10_000);
     let mut fleet = fleet(2, 1);
-    fleet.set_earlier_target(MODEL, 2, now);
+    fleet.set_target_of_unknown_age(MODEL, 2, now);
     let prompt = long_prompt(7, 1);
-    assert!(fleet.choose(wanted(&prompt), now + ms(2_900)).is_ok());
-    assert!(fleet.choose(wanted(&prompt), now + ms(3_100)).is_err());
+    assert!(fleet.choose(query(&prompt), now + ms(2_900)).is_ok());
+    assert!(fleet.choose(query(&prompt), now + ms(3_100)).is_err());
 }
 
 #[test]
@@ -149,10 +152,10 @@
     fleet.server_mut(&"s1".into()).unwrap().close_until(now + ms(500), false);
     let prompt = long_prompt(7, 1);
     let tried = ["s2".into()];
-    let wanted = Wanted { tried: &tried, ..wanted(&prompt) };
-    assert_eq!(fleet.choose(wanted, now).unwrap().server, "s3");
+    let query = ServerQuery { tried: &tried, ..query(&prompt) };
+    assert_eq!(fleet.choose(query, now).unwrap().server, "s3");
     fleet.server_mut(&"s3".into()).unwrap().close_until(now + ms(300), false);
-    let refused = fleet.choose(wanted, now).unwrap_err();
+    let refused = fleet.choose(query, now).unwrap_err();
     assert_eq!((refused.reason, refused.retry_at), (UnavailableReason::Closed, now + ms(300)));
 }
 
@@ -164,8 +167,8 @@
     let prompt = long_prompt(7, 1);
     assert_eq!(choose(&fleet, &prompt, now).server, "s1");
     fleet.remove_entry(&"s1".into(), now);
-    assert!(fleet.choose(wanted(&prompt), now + ms(1_500)).is_ok());
-    let refused = fleet.choose(wanted(&prompt), now + ms(1_800)).unwrap_err();
+    assert!(fleet.choose(query(&prompt), now + ms(1_500)).is_ok());
+    let refused = fleet.choose(query(&prompt), now + ms(1_800)).unwrap_err();
     assert_eq!(refused.reason, UnavailableReason::NoServer);
     fleet.set_entry(entry(1, 1));
     assert_eq!(choose(&fleet, &prompt, now + ms(1_800)).server, "s1");
@@ -191,29 +194,41 @@
         plain.slots = 6;
         fleet.set_entry(plain);
     }
-    let wanted = Wanted { service: &SERVICE, prompt: None, wall: None, priority: 2, tried: &[] };
+    let query = ServerQuery {
+        service: &SERVICE,
+        prompt: None,
+        isolated_workspace: None,
+        priority: 2,
+        tried: &[],
+    };
     let mut attempts = 0;
     let mut counts: BTreeMap<_, u32> = BTreeMap::new();
-    while let Ok(choice) = fleet.choose(wanted, now) {
+    while let Ok(choice) = fleet.choose(query, now) {
         attempts += 1;
-        fleet.begin(&choice.server, attempts, choice.load, now);
+        fleet.begin_request(&choice.server, attempts, choice.load, now);
         *counts.entry(choice.server).or_default() += 1;
     }
     assert_eq!(counts.into_values().collect::<Vec<_>>(), [24, 24]);
-    fleet.server_mut(&"s0".into()).unwrap().health.note_heard(now);
+    fleet.server_mut(&"s0".into()).unwrap().health.record_contact(now);
 }
 
 #[test]
 fn a_server_that_fails_most_of_its_calls_is_avoided_and_tried_again_later() {
     let now = Instant::now();
     let mut fleet = fleet(3, 1);
-    let wanted = Wanted { service: &SERVICE, prompt: None, wall: None, priority: 2, tried: &[] };
-    let near = fleet.choose(wanted, now).unwrap().server;
+    let query = ServerQuery {
+        service: &SERVICE,
+        prompt: None,
+        isolated_workspace: None,
+        priority: 2,
+        tried: &[],
+    };
+    let near = fleet.choose(query, now).unwrap().server;
     for _ in 0..5 {
-        fleet.server_mut(&near).unwrap().health.note_outcome(false, 0.0, now);
+        fleet.server_mut(&near).unwrap().health.record_outcome(false, 0.0, now);
     }
-    assert_ne!(fleet.choose(wanted, now).unwrap().server, near);
-    assert_eq!(fleet.choose(wanted, now + ms(30_000)).unwrap().server, near);
+    assert_ne!(fleet.choose(query, now).unwrap().server, near);
+    assert_eq!(fleet.choose(query, now + ms(30_000)).unwrap().server, near);
 }
 
 /// Pattern: a dark server is due for new weights; its coordinator finds out first.
@@ -224,7 +239,7 @@
     let prompt = long_prompt(7, 1);
     let home = choose(&fleet, &prompt, now).server;
     fleet.server_mut(&home).unwrap().close_until(now + ms(1_200), false);
-    fleet.server_mut(&home).unwrap().reopen_unanswered(now);
+    fleet.server_mut(&home).unwrap().reopen_unresponsive(now);
     assert_ne!(choose(&fleet, &prompt, now + ms(200)).server, home);
     assert_eq!(choose(&fleet, &prompt, now + ms(400)).server, home);
 }
@@ -238,8 +253,8 @@
     for node in &mut nodes {
         for server in 1..6 {
             let load = load_of(60_000);
-            node.set_told(&"past".into(), &[], start);
-            node.server_mut(&format!("s{server}").into()).unwrap().add_own(load, start);
+            node.apply_updates(&"past".into(), &[], start);
+            node.server_mut(&format!("s{server}").into()).unwrap().add_local_load(load, start);
         }
     }
     let mut sent_tokens = 0;
@@ -248,7 +263,7 @@
         let index = step as usize % nodes.len();
         let choice = choose(&nodes[index], &long_prompt(step, step), now);
         if choice.expected_ms < 340.0 {
-            nodes[index].begin(&choice.server, step, choice.load, now);
+            nodes[index].begin_request(&choice.server, step, choice.load, now);
             if choice.server == "s0" {
                 sent_tokens += choice.load.unread_tokens.ahead_of(9);
             }
@@ -267,11 +282,11 @@
 }
 
 fn exchange_loads(nodes: &mut [coriandertide::decision::relay::Fleet], now: Instant) {
-    let told: Vec<_> = nodes.iter().map(|node| node.own_news(now)).collect();
+    let updates: Vec<_> = nodes.iter().map(|node| node.local_updates(now)).collect();
     for (index, node) in nodes.iter_mut().enumerate() {
-        for (other, loads) in told.iter().enumerate().filter(|(other, _)| *other != index) {
-            let s0: Vec<_> = loads.iter().filter(|news| news.server == "s0").cloned().collect();
-            node.set_told(&format!("n{other}").into(), &s0, now);
+        for (other, loads) in updates.iter().enumerate().filter(|(other, _)| *other != index) {
+            let s0: Vec<_> = loads.iter().filter(|update| update.server == "s0").cloned().collect();
+            node.apply_updates(&format!("n{other}").into(), &s0, now);
         }
     }
 }
@@ -309,9 +324,9 @@
         let slots = 12;
         fleet.set_entry(ServerEntry { slots, ..entry(index, 1) });
     }
-    fleet.long_tokens.set_partner("other".into(), 46.0 * 290.0, now);
+    fleet.decode_rate.set_partner_rate("other".into(), 46.0 * 290.0, now);
     let servers: std::collections::BTreeSet<_> =
-        (0..400).map(|i| choose(&fleet, &long_run(i, i), now).server).collect();
+        (0..400).map(|i| choose(&fleet, &decode_heavy_prompt(i, i), now).server).collect();
     assert!(servers.len() >= 36, "{}", servers.len());
 }
 
@@ -338,8 +353,8 @@
     let home = choose(&fleet, &prompt, now).server;
     let load = ServerLoad { requests: 1, ..ServerLoad::default() };
     let (heard_ms, awaited_ms) = (Some(900), Some(700));
-    let news = ServerNews { server: home.clone(), load, heard_ms, awaited_ms };
-    fleet.set_told(&"partner".into(), &[news], now);
+    let update = ServerUpdate { server: home.clone(), load, heard_ms, awaited_ms };
+    fleet.apply_updates(&"partner".into(), &[update], now);
     assert!(fleet.server(&home).unwrap().suspended_until(now).is_some());
     assert_ne!(choose(&fleet, &prompt, now).server, home);
 }
@@ -354,8 +369,8 @@
     let keys = first.prompt.unwrap().keys;
     let holder = fleet.servers().find(|server| server.entry.id != first.server).unwrap();
     let (holder, holder_address) = (holder.entry.id.clone(), holder.entry.address);
-    fleet.kept.add_stored(&keys, now);
-    fleet.kept.add_held_elsewhere(&[(*keys.last().unwrap(), holder.clone())], now);
+    fleet.prefixes.add_stored(&keys, now);
+    fleet.prefixes.add_cached_by_partner(&[(*keys.last().unwrap(), holder.clone())], now);
     load(&mut fleet, &holder, 40_000, now);
     let fetched = |at| choose(&fleet, &prompt, at).prompt.unwrap().fetch_from;
     assert_eq!(fetched(now + ms(1_000)), Some(holder_address));
--- a/tests/relay/configuration.rs
+++ b/tests/relay/configuration.rs
@@ -1,7 +1,7 @@
 //! Routes, splits and keys.
 
 use coriandertide::decision::relay::configuration::{Caller, RouteTarget, Workspace};
-use coriandertide::decision::relay::{Configuration, Repetition, Route};
+use coriandertide::decision::relay::{Configuration, RetrySafety, Route};
 use std::collections::BTreeMap;
 
 fn route(name: &str, host: &str, prefix: &str, weights: &[(&str, u32)]) -> Route {
@@ -13,7 +13,7 @@
         name: name.into(),
         host: host.into(),
         path_prefix: prefix.into(),
-        repetition: Repetition::Idempotent,
+        retry_safety: RetrySafety::Idempotent,
         timeout_ms: 1_000,
         latency_objective_ms: 300,
         priority: 1,
--- a/tests/relay/event_splitter.rs
+++ b/tests/relay/event_splitter.rs
@@ -37,7 +37,7 @@
         let last = (count > 0).then(|| count.to_string());
         prop_assert_eq!(splitter.last_event_id().map(ToString::to_string), last);
         let sent = text.len() - rest.len();
-        prop_assert_eq!(splitter.take_rest().len(), sent - whole.len());
+        prop_assert_eq!(splitter.take_partial().len(), sent - whole.len());
     }
 }
 
--- a/tests/relay/fixture.rs
+++ b/tests/relay/fixture.rs
@@ -1,9 +1,9 @@
 //! Servers and prompts that the tests share.
 
 use coriandertide::decision::relay::configuration::KvCacheStore;
-use coriandertide::decision::relay::server::{ServerLoad, ServerNews};
+use coriandertide::decision::relay::server::{ServerLoad, ServerUpdate};
 use coriandertide::decision::relay::{
-    Choice, Fleet, Prompt, PromptPart, ServerEntry, ServerState, StoreLink, Wanted,
+    Choice, Fleet, Prompt, PromptPart, ServerEntry, ServerQuery, ServerState, StoreLink,
 };
 use smol_str::{SmolStr, format_smolstr};
 use std::net::SocketAddr;
@@ -54,7 +54,7 @@
     Prompt {
         model: MODEL,
         prompt_tokens: 9_190,
-        output_tokens: 208,
+        max_output_tokens: 208,
         output_estimate_tokens: Some(52),
         parts: vec![
             part("preamble".into(), 2_520),
@@ -65,12 +65,12 @@
 }
 
 /// A short prompt with a long answer.
-pub fn long_run(subject: u64, request: u64) -> Prompt {
+pub fn decode_heavy_prompt(subject: u64, request: u64) -> Prompt {
     let part = |id: SmolStr, tokens| PromptPart { id, tokens };
     Prompt {
         model: MODEL,
         prompt_tokens: 826,
-        output_tokens: 828,
+        max_output_tokens: 828,
         output_estimate_tokens: Some(290),
         parts: vec![
             part(format_smolstr!("note-{subject}"), 198),
@@ -79,26 +79,32 @@
     }
 }
 
-pub fn wanted(prompt: &Prompt) -> Wanted<'_> {
-    Wanted { service: &SERVICE, prompt: Some(prompt), wall: None, priority: 1, tried: &[] }
+pub fn query(prompt: &Prompt) -> ServerQuery<'_> {
+    ServerQuery {
+        service: &SERVICE,
+        prompt: Some(prompt),
+        isolated_workspace: None,
+        priority: 1,
+        tried: &[],
+    }
 }
 
 pub fn choose(fleet: &Fleet, prompt: &Prompt, now: Instant) -> Choice {
-    fleet.choose(wanted(prompt), now).unwrap()
+    fleet.choose(query(prompt), now).unwrap()
 }
 
 /// Puts `tokens` of unread prompts on a server, as a partner's load.
 pub fn load(fleet: &mut Fleet, server: &SmolStr, tokens: u32, now: Instant) {
     let unread_tokens = coriandertide::decision::relay::server::UnreadTokens::new(1, tokens);
     let load = ServerLoad { requests: 1, unread_tokens, ..ServerLoad::default() };
-    let news = ServerNews { server: server.clone(), load, ..ServerNews::default() };
-    fleet.set_told(&"partner".into(), &[news], now);
+    let update = ServerUpdate { server: server.clone(), load, ..ServerUpdate::default() };
+    fleet.apply_updates(&"partner".into(), &[update], now);
 }
 
 /// Puts requests whose prompts are read on a server, as a partner's load.
 pub fn add_requests(fleet: &mut Fleet, server: &str, requests: u32, now: Instant) {
     let load = ServerLoad { requests, ..ServerLoad::default() };
     let server = fleet.server_mut(&server.into()).unwrap();
-    let news = ServerNews { load, ..ServerNews::default() };
-    server.set_told("partner".into(), &news, now);
+    let update = ServerUpdate { load, ..ServerUpdate::default() };
+    server.apply_update("partner".into(), &update, now);
 }
--- a/tests/relay/health.rs
+++ b/tests/relay/health.rs
@@ -1,58 +1,58 @@
 //! Servers that are out of reach, silent, slow, or fail.
 
 use super::fixture::ms;
-use coriandertide::decision::relay::health::{Health, ServerSigns, SilenceChange};
+use coriandertide::decision::relay::health::{Health, ServerContact, SilenceChange};
 use std::time::Instant;
 
 #[test]
 fn suspensions_grow_and_end_with_a_success() {
     let now = Instant::now();
     let mut health = Health::default();
-    assert_eq!(health.note_unreachable(now), now + ms(300));
-    assert_eq!(health.note_unreachable(now + ms(100)), now + ms(300));
-    assert_eq!(health.note_unreachable(now + ms(300)), now + ms(900));
+    assert_eq!(health.record_unreachable(now), now + ms(300));
+    assert_eq!(health.record_unreachable(now + ms(100)), now + ms(300));
+    assert_eq!(health.record_unreachable(now + ms(300)), now + ms(900));
     assert_eq!(health.suspended_until(now + ms(800)), Some(now + ms(900)));
-    health.note_outcome(true, 0.0, now + ms(850));
+    health.record_outcome(true, 0.0, now + ms(850));
     assert_eq!(health.suspended_until(now + ms(860)), None);
-    assert_eq!(health.note_unreachable(now + ms(900)), now + ms(1_200));
+    assert_eq!(health.record_unreachable(now + ms(900)), now + ms(1_200));
 }
 
 #[test]
 fn a_dark_server_is_noticed_by_its_silence_within_a_second() {
     let now = Instant::now();
     let mut health = Health::default();
-    health.note_sent(1, now);
-    health.note_heard(now + ms(200));
-    assert!(!health.is_silent(ServerSigns::default(), now + ms(600)));
-    assert!(health.is_silent(ServerSigns::default(), now + ms(1_000)));
-    health.note_ended(1);
-    assert!(!health.is_silent(ServerSigns::default(), now + ms(5_000)));
+    health.record_sent(1, now);
+    health.record_contact(now + ms(200));
+    assert!(!health.is_silent(ServerContact::default(), now + ms(600)));
+    assert!(health.is_silent(ServerContact::default(), now + ms(1_000)));
+    health.clear_unanswered(1);
+    assert!(!health.is_silent(ServerContact::default(), now + ms(5_000)));
 }
 
 #[test]
 fn a_server_with_long_queues_is_not_silent_while_others_are_answered() {
     let now = Instant::now();
     let mut health = Health::default();
-    health.note_sent(1, now);
+    health.record_sent(1, now);
     for step in 1..30 {
-        health.note_heard(now + ms(step * 100));
+        health.record_contact(now + ms(step * 100));
     }
-    assert!(!health.is_silent(ServerSigns::default(), now + ms(3_000)));
+    assert!(!health.is_silent(ServerContact::default(), now + ms(3_000)));
 }
 
 #[test]
 fn failures_and_slowness_cost_and_fade() {
     let now = Instant::now();
     let mut health = Health::default();
-    (0..10).for_each(|_| health.note_outcome(false, 0.0, now));
+    (0..10).for_each(|_| health.record_outcome(false, 0.0, now));
     let failing = health.cost_ms(now);
     assert!(failing > 400.0, "{failing}");
     assert!(health.cost_ms(now + ms(20_000)) < failing / 50.0);
     let mut slow = Health::default();
-    (0..10).for_each(|_| slow.note_outcome(true, 800.0, now));
+    (0..10).for_each(|_| slow.record_outcome(true, 800.0, now));
     assert!(slow.cost_ms(now) > 400.0);
     let mut usual = Health::default();
-    (0..10).for_each(|_| usual.note_outcome(true, 40.0, now));
+    (0..10).for_each(|_| usual.record_outcome(true, 40.0, now));
     assert_eq!(usual.cost_ms(now), 0.0);
 }
 
@@ -61,13 +61,13 @@
 fn a_server_that_other_nodes_hear_is_not_silent_for_a_node_with_one_slow_request() {
     let now = Instant::now();
     let mut health = Health::default();
-    health.note_sent(1, now);
-    let heard_at = Some(now + ms(900));
-    let others = ServerSigns { heard_at, awaited_since: Some(now) };
+    health.record_sent(1, now);
+    let last_contact_at = Some(now + ms(900));
+    let others = ServerContact { last_contact_at, unanswered_since: Some(now) };
     assert!(!health.is_silent(others, now + ms(1_000)));
     // What reaches others does not reach this node.
-    let heard_at = Some(now + ms(1_900));
-    let others = ServerSigns { heard_at, awaited_since: Some(now) };
+    let last_contact_at = Some(now + ms(1_900));
+    let others = ServerContact { last_contact_at, unanswered_since: Some(now) };
     assert!(health.is_silent(others, now + ms(2_000)));
 }
 
@@ -76,15 +76,15 @@
 fn a_server_that_is_silent_for_others_costs_until_it_is_heard() {
     let now = Instant::now();
     let mut health = Health::default();
-    let heard_at = Some(now);
-    let silent = ServerSigns { heard_at, awaited_since: Some(now + ms(100)) };
+    let last_contact_at = Some(now);
+    let silent = ServerContact { last_contact_at, unanswered_since: Some(now + ms(100)) };
     assert!(health.is_silent(silent, now + ms(700)));
-    assert_eq!(health.note_silence(silent, now + ms(700)), Some(SilenceChange::Silent));
-    assert_eq!(health.note_silence(silent, now + ms(710)), None);
-    let answered = ServerSigns { heard_at, awaited_since: None };
-    health.note_silence(answered, now + ms(1_000));
+    assert_eq!(health.update_silence(silent, now + ms(700)), Some(SilenceChange::Silent));
+    assert_eq!(health.update_silence(silent, now + ms(710)), None);
+    let answered = ServerContact { last_contact_at, unanswered_since: None };
+    health.update_silence(answered, now + ms(1_000));
     assert!(health.cost_ms(now + ms(1_000)) > 400.0);
-    let heard = ServerSigns { heard_at: Some(now + ms(1_100)), awaited_since: None };
-    assert_eq!(health.note_silence(heard, now + ms(1_200)), Some(SilenceChange::Heard));
+    let heard = ServerContact { last_contact_at: Some(now + ms(1_100)), unanswered_since: None };
+    assert_eq!(health.update_silence(heard, now + ms(1_200)), Some(SilenceChange::Heard));
     assert_eq!(health.cost_ms(now + ms(1_200)), 0.0);
 }
--- a/tests/relay/lease.rs
+++ b/tests/relay/lease.rs
@@ -41,18 +41,18 @@
             match step {
                 Step::Read(node) => nodes[node].observe(register.clone(), now),
                 Step::Replace(node, is_lost) => {
-                    let number = nodes[node].replaceable(now);
+                    let number = nodes[node].replaceable_number(now);
                     if number == Some(register.number) {
                         register = RegisterRecord { number: register.number + 1, holder: name(node) };
                         numbers.push(register.number);
                         if !is_lost {
-                            nodes[node].take(register.number, now);
+                            nodes[node].acquire(register.number, now);
                         }
                     }
                 }
                 Step::Wait(wait_ms) => now += Duration::from_millis(wait_ms),
             }
-            let held: Vec<_> = nodes.iter().filter_map(|node| node.held(now)).collect();
+            let held: Vec<_> = nodes.iter().filter_map(|node| node.fencing_number(now)).collect();
             prop_assert!(held.len() <= 1, "{held:?}");
         }
         prop_assert!(numbers.is_sorted());
@@ -64,8 +64,8 @@
     let now = Instant::now();
     let mut lease = RegisterLease::new("b".into(), LEASE_MS);
     lease.observe(RegisterRecord { number: 4, holder: "a".into() }, now);
-    assert_eq!(lease.replaceable(now + Duration::from_millis(LEASE_MS)), None);
-    assert_eq!(lease.replaceable(now + Duration::from_millis(LEASE_MS + 300)), Some(4));
+    assert_eq!(lease.replaceable_number(now + Duration::from_millis(LEASE_MS)), None);
+    assert_eq!(lease.replaceable_number(now + Duration::from_millis(LEASE_MS + 300)), Some(4));
 }
 
 #[test]
@@ -73,13 +73,13 @@
     let now = Instant::now();
     let mut lease = RegisterLease::new("a".into(), LEASE_MS);
     lease.observe(RegisterRecord { number: 0, holder: "".into() }, now);
-    assert_eq!(lease.replaceable(now), Some(0));
-    lease.take(1, now);
+    assert_eq!(lease.replaceable_number(now), Some(0));
+    lease.acquire(1, now);
     assert!(!lease.is_renewal_due(now + Duration::from_millis(1_000)));
     assert!(lease.is_renewal_due(now + Duration::from_millis(1_500)));
-    assert_eq!(lease.held(now + Duration::from_millis(2_999)), Some(1));
-    assert_eq!(lease.held(now + Duration::from_millis(3_000)), None);
-    lease.take(2, now);
+    assert_eq!(lease.fencing_number(now + Duration::from_millis(2_999)), Some(1));
+    assert_eq!(lease.fencing_number(now + Duration::from_millis(3_000)), None);
+    lease.acquire(2, now);
     lease.observe(RegisterRecord { number: 3, holder: "b".into() }, now);
-    assert_eq!(lease.held(now), None);
+    assert_eq!(lease.fencing_number(now), None);
 }
--- a/tests/relay/loads.rs
+++ b/tests/relay/loads.rs
@@ -12,7 +12,7 @@
 use std::time::Instant;
 
 /// Neighbours that a node of the largest site planned for may have.
-const MOST_NEIGHBOURS: usize = 30;
+const MAX_NEIGHBOURS: usize = 30;
 
 fn members(nodes: u16) -> Vec<MemberRecord> {
     let member = |node: u16| MemberRecord {
@@ -54,7 +54,7 @@
         let edges: usize = places.values().map(|place| place.children.len()).sum();
         assert_eq!(edges, usize::from(nodes) - 1);
         for (node, place) in &places {
-            assert!(place.neighbours().count() <= MOST_NEIGHBOURS, "{nodes}: {place:?}");
+            assert!(place.neighbours().count() <= MAX_NEIGHBOURS, "{nodes}: {place:?}");
             for child in &place.children {
                 assert_eq!(places[child].parent.as_ref(), Some(node));
             }
@@ -108,10 +108,10 @@
         self.now += ms(100);
         let mut sent = Vec::new();
         for (id, (exchange, fleet)) in &mut self.nodes {
-            exchange.add_new_prefixes(fleet);
+            exchange.queue_new_prefixes(fleet);
             let peers: Vec<_> = exchange.neighbours().cloned().collect();
             for peer in peers {
-                let load = exchange.outgoing(&peer, fleet, self.now);
+                let load = exchange.next_message(&peer, fleet, self.now);
                 sent.extend(load.map(|load| (id.clone(), peer, load)));
             }
         }
@@ -125,7 +125,7 @@
     }
 
     fn send(&mut self, node: &str, server: &str, load: ServerLoad) {
-        self.nodes.get_mut(node).unwrap().1.begin(&server.into(), 1, load, self.now);
+        self.nodes.get_mut(node).unwrap().1.begin_request(&server.into(), 1, load, self.now);
     }
 
     fn known_requests(&self, server: &str) -> BTreeSet<u32> {
@@ -147,7 +147,7 @@
         site.round();
     });
     assert_eq!(site.known_requests("s3"), [84].into());
-    site.nodes.get_mut("node-5").unwrap().1.end(&"s3".into(), 1, request);
+    site.nodes.get_mut("node-5").unwrap().1.end_request(&"s3".into(), 1, request);
     (0..7).for_each(|_| {
         site.round();
     });
@@ -158,11 +158,11 @@
 fn every_node_learns_which_prefixes_are_stored() {
     let mut site = Site::new(68);
     let now = site.now;
-    site.nodes.get_mut("node-9").unwrap().1.kept.add_stored(&[77], now);
+    site.nodes.get_mut("node-9").unwrap().1.prefixes.add_stored(&[77], now);
     (0..7).for_each(|_| {
         site.round();
     });
-    assert!(site.nodes.values().all(|(_, fleet)| fleet.kept.is_stored(77, site.now)));
+    assert!(site.nodes.values().all(|(_, fleet)| fleet.prefixes.is_stored(77, site.now)));
 }
 
 /// Pattern: a subject's requests come through many nodes, each of which sees it once.
@@ -171,11 +171,12 @@
     let mut site = Site::new(68);
     let now = site.now;
     let server = "s4".into();
-    site.nodes.get_mut("node-9").unwrap().1.kept.add_held(&[1, 77], &server, true, now);
+    site.nodes.get_mut("node-9").unwrap().1.prefixes.add_cached(&[1, 77], &server, true, now);
     (0..7).for_each(|_| {
         site.round();
     });
-    let holders = site.nodes.values().map(|(_, fleet)| fleet.kept.holder(77, site.now));
+    let holders =
+        site.nodes.values().map(|(_, fleet)| fleet.prefixes.likely_cached_on(77, site.now));
     assert!(holders.into_iter().all(|holder| holder == Some(&server)));
 }
 
@@ -194,7 +195,7 @@
     let mut site = Site::new(9);
     let (id, (exchange, fleet)) = site.nodes.iter_mut().next().unwrap();
     let peer = exchange.neighbours().next().unwrap().clone();
-    let mut load = exchange.outgoing(&peer, fleet, site.now).unwrap();
+    let mut load = exchange.next_message(&peer, fleet, site.now).unwrap();
     load.nodes = 9;
     assert_eq!(
         exchange.receive(&peer, &load, 9, fleet, site.now),
--- a/tests/relay/main.rs
+++ b/tests/relay/main.rs
@@ -8,14 +8,14 @@
 mod event_splitter;
 mod fixture;
 mod health;
-mod kept_prefixes;
 mod lease;
 mod loads;
 mod logging;
 mod notices;
+mod prefix_index;
 #[path = "../shared/proptest_config.rs"]
 mod proptest_config;
-mod record_watch;
+mod read_schedule;
 mod replica;
 mod resend;
 mod rollout;
--- a/tests/relay/kept_prefixes.rs
+++ b/tests/relay/prefix_index.rs
@@ -3,47 +3,47 @@
 use super::fixture::ms;
 use coriandertide::decision::relay::StoreLink;
 use coriandertide::decision::relay::configuration::KvCacheStore;
-use coriandertide::decision::relay::kept_prefixes::KeptPrefixes;
+use coriandertide::decision::relay::prefix_index::PrefixIndex;
 use std::net::SocketAddr;
 use std::time::Instant;
 
 #[test]
 fn beliefs_end_with_time_and_with_the_store() {
     let now = Instant::now();
-    let mut kept = KeptPrefixes::default();
-    kept.add_stored(&[1, 2], now);
-    kept.add_stored(&[1], now);
-    assert_eq!(kept.take_newly_stored(), [1, 2]);
-    assert!(kept.is_stored(1, now + ms(40_000)) && !kept.is_stored(1, now + ms(46_000)));
-    kept.add_stored_elsewhere(&[3], now);
-    assert!(kept.take_newly_stored().is_empty());
-    kept.forget_stored();
-    assert!(!kept.is_stored(1, now) && !kept.is_stored(3, now));
-    kept.add_held(&[1], &"a".into(), true, now);
-    assert_eq!(kept.holder(1, now + ms(7_000)), Some(&"a".into()));
-    assert_eq!(kept.holder(1, now + ms(9_000)), None);
-    assert!(kept.is_held_by(1, &"a".into(), now + ms(1_900)));
-    assert!(!kept.is_held_by(1, &"a".into(), now + ms(2_100)));
+    let mut prefixes = PrefixIndex::default();
+    prefixes.add_stored(&[1, 2], now);
+    prefixes.add_stored(&[1], now);
+    assert_eq!(prefixes.take_newly_stored(), [1, 2]);
+    assert!(prefixes.is_stored(1, now + ms(40_000)) && !prefixes.is_stored(1, now + ms(46_000)));
+    prefixes.add_stored_by_partner(&[3], now);
+    assert!(prefixes.take_newly_stored().is_empty());
+    prefixes.clear_stored();
+    assert!(!prefixes.is_stored(1, now) && !prefixes.is_stored(3, now));
+    prefixes.add_cached(&[1], &"a".into(), true, now);
+    assert_eq!(prefixes.likely_cached_on(1, now + ms(7_000)), Some(&"a".into()));
+    assert_eq!(prefixes.likely_cached_on(1, now + ms(9_000)), None);
+    assert!(prefixes.is_cached_on(1, &"a".into(), now + ms(1_900)));
+    assert!(!prefixes.is_cached_on(1, &"a".into(), now + ms(2_100)));
 }
 
 #[test]
 fn a_prefix_is_saved_once_and_again_if_the_save_fails() {
     let now = Instant::now();
-    let mut kept = KeptPrefixes::default();
-    assert!(kept.is_unsaved(1, now));
-    kept.add_saving(&[1], now);
-    assert!(!kept.is_unsaved(1, now + ms(1_000)));
-    assert!(kept.is_unsaved(1, now + ms(1_600)));
+    let mut prefixes = PrefixIndex::default();
+    assert!(prefixes.needs_save(1, now));
+    prefixes.mark_saving(&[1], now);
+    assert!(!prefixes.needs_save(1, now + ms(1_000)));
+    assert!(prefixes.needs_save(1, now + ms(1_600)));
 }
 
 #[test]
 fn memory_stays_bounded() {
     let now = Instant::now();
-    let mut kept = KeptPrefixes::default();
+    let mut prefixes = PrefixIndex::default();
     for key in 0..100_000 {
-        kept.add_stored_elsewhere(&[key], now);
+        prefixes.add_stored_by_partner(&[key], now);
     }
-    let stored = (0..100_000).filter(|key| kept.is_stored(*key, now)).count();
+    let stored = (0..100_000).filter(|key| prefixes.is_stored(*key, now)).count();
     assert!(stored <= 16_384, "{stored}");
 }
 
--- a/tests/relay/record_watch.rs
+++ b/tests/relay/read_schedule.rs
@@ -1,7 +1,7 @@
 //! Who reads the record store: the calls of many nodes, and what a node learns without the others.
 
 use super::fixture::ms;
-use coriandertide::decision::relay::{NextRead, RecordTopic, RecordWatch};
+use coriandertide::decision::relay::{NextRead, ReadSchedule, RecordTopic};
 use smol_str::{SmolStr, format_smolstr};
 use std::time::{Duration, Instant};
 
@@ -15,13 +15,13 @@
     (0..nodes).map(|node| format_smolstr!("node-{node}")).collect()
 }
 
-fn watches(nodes: usize) -> Vec<RecordWatch> {
+fn schedules(nodes: usize) -> Vec<ReadSchedule> {
     let ids = ids(nodes);
     ids.iter()
         .map(|me| {
-            let mut watch = RecordWatch::default();
-            watch.set_nodes(me, &ids, &TOPICS);
-            watch
+            let mut schedule = ReadSchedule::default();
+            schedule.set_nodes(me, &ids, &TOPICS);
+            schedule
         })
         .collect()
 }
@@ -31,37 +31,37 @@
 /// Returns the calls and the greatest age of what a node knew after the first three seconds.
 fn play(nodes: usize, length: Duration, is_refused: impl Fn(usize) -> bool) -> (u32, Duration) {
     let start = Instant::now();
-    let mut watches = watches(nodes);
+    let mut schedules = schedules(nodes);
     let mut reading: Vec<Option<Instant>> = vec![None; nodes];
     let (mut calls, mut oldest) = (0, Duration::ZERO);
     for step in 0..length.as_millis() as u64 / 10 {
         let now = start + ms(step * 10);
-        for (node, watch) in watches.iter_mut().enumerate() {
+        for (node, schedule) in schedules.iter_mut().enumerate() {
             if let Some(until) = reading[node] {
                 if now >= until {
                     reading[node] = None;
-                    watch.note_answered(TOPIC, now);
-                    watch.confirm(TOPIC, until);
+                    schedule.record_answer(TOPIC, now);
+                    schedule.confirm(TOPIC, until);
                 }
                 continue;
             }
-            if let NextRead::Read { wait_until } = watch.next_read(TOPIC, now) {
+            if let NextRead::Read { wait_until } = schedule.next_read(TOPIC, now) {
                 calls += 1;
                 if is_refused(node) {
-                    watch.note_failed(TOPIC, now);
+                    schedule.record_failure(TOPIC, now);
                 } else {
                     reading[node] = Some(wait_until + ms(10));
                 }
             }
         }
         if step % 30 == 0 {
-            let youngest = watches.iter().filter_map(|watch| watch.age(TOPIC, now)).min();
+            let youngest = schedules.iter().filter_map(|schedule| schedule.age(TOPIC, now)).min();
             if let Some(age) = youngest {
-                watches.iter_mut().for_each(|watch| watch.confirm(TOPIC, now - age));
+                schedules.iter_mut().for_each(|schedule| schedule.confirm(TOPIC, now - age));
             }
         }
         if step > 300 {
-            let ages = watches.iter().map(|watch| watch.age(TOPIC, now).unwrap_or(length));
+            let ages = schedules.iter().map(|schedule| schedule.age(TOPIC, now).unwrap_or(length));
             oldest = ages.max().unwrap_or(length).max(oldest);
         }
     }
@@ -93,25 +93,25 @@
 #[test]
 fn a_node_that_hears_of_nobody_reads_in_time() {
     let now = Instant::now();
-    for mut watch in watches(100) {
-        watch.confirm(TOPIC, now);
-        watch.note_answered(TOPIC, now);
-        let due_at = match watch.next_read(TOPIC, now) {
+    for mut schedule in schedules(100) {
+        schedule.confirm(TOPIC, now);
+        schedule.record_answer(TOPIC, now);
+        let due_at = match schedule.next_read(TOPIC, now) {
             NextRead::Wait(due_at) => due_at,
             NextRead::Read { .. } => now,
         };
         assert!(due_at < now + IN_FORCE_WITHIN);
-        assert!(matches!(watch.next_read(TOPIC, due_at), NextRead::Read { .. }));
+        assert!(matches!(schedule.next_read(TOPIC, due_at), NextRead::Read { .. }));
     }
 }
 
 #[test]
 fn a_follower_that_the_store_turns_away_relies_on_its_partners_for_a_while() {
     let now = Instant::now();
-    let mut watch = RecordWatch::default();
+    let mut schedule = ReadSchedule::default();
     let me = SmolStr::from("me");
-    watch.set_nodes(&me, std::slice::from_ref(&me), &TOPICS);
-    watch.note_failed(TOPIC, now);
-    watch.confirm(TOPIC, now);
-    assert!(matches!(watch.next_read(TOPIC, now + ms(100)), NextRead::Wait(_)));
+    schedule.set_nodes(&me, std::slice::from_ref(&me), &TOPICS);
+    schedule.record_failure(TOPIC, now);
+    schedule.confirm(TOPIC, now);
+    assert!(matches!(schedule.next_read(TOPIC, now + ms(100)), NextRead::Wait(_)));
 }
--- a/tests/relay/replica.rs
+++ b/tests/relay/replica.rs
@@ -28,8 +28,8 @@
 }
 
 fn live(replica: &Replica) -> BTreeMap<String, Option<Bytes>> {
-    let part = replica.part(TOPIC, None).unwrap();
-    let records = part.records.into_iter().filter(|record| record.value.is_some());
+    let delta = replica.delta(TOPIC, None).unwrap();
+    let records = delta.records.into_iter().filter(|record| record.value.is_some());
     records.map(|record| (record.key.to_string(), record.value)).collect()
 }
 
@@ -78,8 +78,8 @@
                     }
                 }
                 Step::FromPartner => {
-                    if let Some(part) = own.part(TOPIC, partner.known_below(TOPIC)) {
-                        partner.apply_part(part);
+                    if let Some(delta) = own.delta(TOPIC, partner.known_below(TOPIC)) {
+                        partner.apply_delta(delta);
                         prop_assert_eq!(live(&partner), live(&own));
                     }
                 }
@@ -96,10 +96,10 @@
 fn a_part_of_a_part_does_not_pass_for_the_whole() {
     let mut own = Replica::default();
     own.apply_listing(TOPIC, listing(&[record(0, 1, false), record(1, 2, false)]));
-    let mut part = own.part(TOPIC, None).unwrap();
-    part.records.truncate(1);
-    part.from = Some(u64::MAX);
+    let mut delta = own.delta(TOPIC, None).unwrap();
+    delta.records.truncate(1);
+    delta.from = Some(u64::MAX);
     let mut partner = Replica::default();
-    assert_eq!(partner.apply_part(part).len(), 1);
+    assert_eq!(partner.apply_delta(delta).len(), 1);
     assert_eq!(partner.known_below(TOPIC), None);
 }
--- a/tests/relay/resend.rs
+++ b/tests/relay/resend.rs
@@ -20,7 +20,7 @@
         for (pause, node, wants) in events {
             at += pause;
             let now = start + Duration::from_millis(at);
-            budgets[node].count_first(&"s".into(), now);
+            budgets[node].count_first_attempt(&"s".into(), now);
             firsts.push(at);
             for _ in 0..wants {
                 if budgets[node].try_take(&"s".into(), now) {
--- a/tests/relay/rollout.rs
+++ b/tests/relay/rollout.rs
@@ -31,7 +31,7 @@
     start: Instant,
     servers: BTreeMap<ServerId, WorldServer>,
     closed: BTreeSet<ServerId>,
-    most_closed: usize,
+    max_closed: usize,
     believed: BTreeMap<ServerId, u64>,
     ordered: u32,
     lose_every: Option<u32>,
@@ -58,7 +58,7 @@
             believed: servers.keys().map(|id| (id.clone(), 1)).collect(),
             servers,
             closed: BTreeSet::new(),
-            most_closed: 0,
+            max_closed: 0,
             ordered: 0,
             lose_every: None,
             keeps: 0,
@@ -101,7 +101,7 @@
             let state = (now, server.revision, server.accepted_orders, server.load.is_some());
             server.history.push(state);
         }
-        self.most_closed = self.most_closed.max(self.closed.len());
+        self.max_closed = self.max_closed.max(self.closed.len());
     }
 
     fn view(&self, revision: u64, now: Instant) -> Vec<RolloutServer> {
@@ -168,7 +168,7 @@
             }
             RolloutCommand::Report(id) => {
                 let report = self.report(&id, now);
-                rollout.reported(&id, report.as_ref(), now)
+                rollout.on_report(&id, report.as_ref(), now)
             }
             RolloutCommand::Order { server: id, accepted_orders, runs } => {
                 self.ordered += 1;
@@ -179,7 +179,7 @@
                 let server = self.servers.get_mut(&id).unwrap();
                 if is_lost {
                     server.late_orders.push((now + ms(3_000), revision, accepted_orders));
-                    return rollout.ordered(&id, WeightsOrderOutcome::Unknown, now);
+                    return rollout.on_order_outcome(&id, WeightsOrderOutcome::Unknown, now);
                 }
                 let accepted = Self::accept(server, revision, accepted_orders, now);
                 let outcome = if accepted {
@@ -187,14 +187,14 @@
                 } else {
                     WeightsOrderOutcome::Conflict
                 };
-                rollout.ordered(&id, outcome, now)
+                rollout.on_order_outcome(&id, outcome, now)
             }
             RolloutCommand::Finish { server, revision } => {
                 self.closed.remove(&server);
                 self.believed.insert(server, revision);
                 Vec::new()
             }
-            RolloutCommand::GiveUp(id) => {
+            RolloutCommand::Abandon(id) => {
                 self.closed.remove(&id);
                 Vec::new()
             }
@@ -211,7 +211,7 @@
     let mut world = World::new(12, Instant::now());
     let took = world.play(&mut rollout(), 2, ms(8_000)).unwrap();
     assert!(took < ms(4_000), "{took:?}");
-    assert!(world.most_closed <= 4, "{}", world.most_closed);
+    assert!(world.max_closed <= 4, "{}", world.max_closed);
     assert_eq!((world.ordered, world.keeps), (12, 0));
 }
 
