--- a/src/control/event.rs
+++ b/src/control/event.rs
@@ -4,7 +4,7 @@
 use super::links::LinkEvent;
 use super::placement::OrderAnswer;
 use crate::decision::poison::{Fingerprint, Strike};
-use crate::decision::routing::{AnswerFeedback, KeptPrefix, SentRequest};
+use crate::decision::routing::{AnswerFeedback, SentRequest, StoredPrefix};
 use crate::ports::{CacheEventPage, InstanceRecord, LoadReport, LogPage, LogStream};
 use crate::types::{Incarnation, InstanceId, PeerError, ServerId};
 use std::time::Instant;
@@ -65,7 +65,7 @@
         error: PeerError,
     },
     /// The KV store told what it keeps.
-    KeptPrefixes(Vec<KeptPrefix>),
+    KeptPrefixes(Vec<StoredPrefix>),
     /// It was looked whether a server crashed that broke off an answer.
     CrashChecked {
         /// Strike that follows if it did.
--- a/src/control/polls.rs
+++ b/src/control/polls.rs
@@ -1,7 +1,7 @@
 //! Periodic exchanges with the instance list and the backend servers.
 
 use super::{ControlContext, ControlEvent};
-use crate::decision::routing::KeptPrefix;
+use crate::decision::routing::StoredPrefix;
 use crate::metrics::PeerLabels;
 use crate::types::ServerId;
 use smol::Timer;
@@ -54,7 +54,7 @@
     match kv_store.kept_tokens(&keys).await {
         Ok(tokens) => {
             let kept = keys.into_iter().zip(tokens);
-            let kept = kept.map(|(key, tokens)| KeptPrefix { key, tokens }).collect();
+            let kept = kept.map(|(key, tokens)| StoredPrefix { key, tokens }).collect();
             context.send(ControlEvent::KeptPrefixes(kept)).await;
         }
         Err(error) => log::warn!("event=kv_store_failed {error}"),
--- a/src/control/routing.rs
+++ b/src/control/routing.rs
@@ -47,18 +47,18 @@
     pub(super) fn poll_servers(&mut self, now: Instant) {
         let Some(document) = self.document.clone() else { return };
         if document.servers.len() <= SMALL_SITE_SERVERS {
-            document.servers.keys().for_each(|id| self.routing_polls.planner.note_use(id, now));
+            document.servers.keys().for_each(|id| self.routing_polls.planner.mark_used(id, now));
         }
         for poll in self.routing_polls.planner.plan(now) {
             match document.servers.get(&poll.server) {
                 Some(server) => self.send_poll(poll, server.address),
-                None => self.routing_polls.planner.forget(&poll.server),
+                None => self.routing_polls.planner.remove(&poll.server),
             }
         }
         if self.context.kv_store.is_none() {
             return;
         }
-        let keys = self.routing.take_kept_queries(KEPT_QUERY_KEYS);
+        let keys = self.routing.take_store_queries(KEPT_QUERY_KEYS);
         if !keys.is_empty() {
             self.context.spawn(polls::poll_kept_prefixes(self.context.clone(), keys));
         }
@@ -67,8 +67,8 @@
     /// Takes in that traffic uses a server and may use another next.
     pub(super) fn note_sent(&mut self, sent: &SentRequest, now: Instant) {
         let planner = &mut self.routing_polls.planner;
-        planner.note_use(&sent.server, now);
-        sent.runner_up.iter().for_each(|server| planner.note_use(server, now));
+        planner.mark_used(&sent.server, now);
+        sent.runner_up.iter().for_each(|server| planner.mark_used(server, now));
     }
 
     /// Takes in a load report.
@@ -112,7 +112,7 @@
 
     fn settle_poll(&mut self, server: &ServerId, kind: PollKind, bytes: usize) {
         let poll = PollRequest { server: server.clone(), kind };
-        self.routing_polls.planner.answered(&poll, HEAD_BYTES + bytes);
+        self.routing_polls.planner.complete(&poll, HEAD_BYTES + bytes);
     }
 
     fn send_poll(&mut self, poll: PollRequest, address: std::net::SocketAddr) {
@@ -120,7 +120,7 @@
         match poll.kind {
             PollKind::Load => self.context.spawn(polls::poll_load(context, poll.server, address)),
             PollKind::CacheEvents => {
-                let from = self.routing.next_events_from(&poll.server, PAGE_EVENTS);
+                let from = self.routing.next_event_sequence(&poll.server, PAGE_EVENTS);
                 let task = polls::poll_cache_events(context, poll.server, address, from);
                 self.context.spawn(task);
             }
--- a/src/control/state.rs
+++ b/src/control/state.rs
@@ -154,7 +154,7 @@
                 self.fail_cache_events(server, &error);
             }
             ControlEvent::KeptPrefixes(kept) => {
-                self.routing.apply(RoutingEvent::KeptPrefixes(kept), now);
+                self.routing.apply(RoutingEvent::StoredPrefixes(kept), now);
             }
             ControlEvent::CrashChecked { strike, crashed } => {
                 self.apply_crash_check(strike, crashed, now);
@@ -203,7 +203,7 @@
                 RoutingEvent::Answer(feedback)
             }
             TrafficReport::Load { server, report, asked_at } => {
-                self.routing_polls.planner.note_report(&server, now);
+                self.routing_polls.planner.postpone_load_poll(&server, now);
                 RoutingEvent::Load { server, report, asked_at }
             }
             TrafficReport::AttemptFailed { server } => RoutingEvent::ServerFailed { server },
@@ -212,7 +212,7 @@
             }
             TrafficReport::ConfigurationAppended => return self.read_configuration(),
             TrafficReport::Exonerated(fingerprint) => {
-                return self.poison.exonerate(fingerprint);
+                return self.poison.clear_strikes(fingerprint);
             }
         };
         self.routing.apply(event, now);
--- a/src/decision/admission/config.rs
+++ b/src/decision/admission/config.rs
@@ -5,31 +5,31 @@
 use std::time::{Duration, Instant};
 
 /// Shortest time after which a refused caller is told to come back.
-pub const SHORTEST_RETRY: Duration = Duration::from_millis(100);
+pub const MIN_RETRY_DELAY: Duration = Duration::from_millis(100);
 
 /// Settings of admission.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct AdmissionConfig {
     /// Longest wait of an interactive request in milliseconds.
-    pub interactive_wait_ms: u64,
+    pub max_interactive_wait_ms: u64,
     /// Longest wait of a normal request in milliseconds.
-    pub normal_wait_ms: u64,
+    pub max_normal_wait_ms: u64,
     /// Longest wait of a batch request in milliseconds.
-    pub batch_wait_ms: u64,
+    pub max_batch_wait_ms: u64,
     /// Seconds of its rate that a workspace may use at once.
     pub burst_s: f64,
     /// Requests that this node runs at once for each request that its share of the servers runs.
-    pub running_factor: f64,
+    pub overcommit_factor: f64,
 }
 
 impl Default for AdmissionConfig {
     fn default() -> Self {
         Self {
-            interactive_wait_ms: 300,
-            normal_wait_ms: 600,
-            batch_wait_ms: 5_000,
+            max_interactive_wait_ms: 300,
+            max_normal_wait_ms: 600,
+            max_batch_wait_ms: 5_000,
             burst_s: 2.0,
-            running_factor: 1.25,
+            overcommit_factor: 1.25,
         }
     }
 }
@@ -38,16 +38,16 @@
     /// Returns the refusal of a request that would wait for `wait`; its caller is told to come back
     /// when the wait has shrunk to what its priority allows.
     pub fn wait_refusal(&self, priority: Priority, wait: Duration, now: Instant) -> Refusal {
-        let excess = wait.saturating_sub(self.longest_wait(priority));
-        Refusal { reason: RefusalReason::WaitTooLong, retry_at: now + excess.max(SHORTEST_RETRY) }
+        let excess = wait.saturating_sub(self.max_wait(priority));
+        Refusal { reason: RefusalReason::WaitTooLong, retry_at: now + excess.max(MIN_RETRY_DELAY) }
     }
 
     /// Returns the longest wait of a request of `priority`.
-    pub fn longest_wait(&self, priority: Priority) -> Duration {
+    pub fn max_wait(&self, priority: Priority) -> Duration {
         Duration::from_millis(match priority {
-            Priority::Interactive => self.interactive_wait_ms,
-            Priority::Normal => self.normal_wait_ms,
-            Priority::Batch => self.batch_wait_ms,
+            Priority::Interactive => self.max_interactive_wait_ms,
+            Priority::Normal => self.max_normal_wait_ms,
+            Priority::Batch => self.max_batch_wait_ms,
         })
     }
 }
--- a/src/decision/admission/fair_queue.rs
+++ b/src/decision/admission/fair_queue.rs
@@ -1,6 +1,6 @@
 //! Queue of waiting requests: strict priority, then start-time fair queueing over workspaces.
 
-use super::Ticket;
+use super::AdmissionId;
 use crate::types::{Priority, WorkspaceId};
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Instant;
@@ -8,9 +8,9 @@
 
 /// Waiting request.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct Waiting {
+pub struct Waiter {
     /// Ticket.
-    pub ticket: Ticket,
+    pub id: AdmissionId,
     /// Workspace.
     pub workspace: WorkspaceId,
     /// Priority.
@@ -18,11 +18,11 @@
     /// Tokens that the request is charged with once it starts.
     pub tokens: u32,
     /// When the request is refused.
-    pub until: Instant,
+    pub expires_at: Instant,
 }
 
 /// Requests of one priority, first come first within a workspace.
-type Lanes = BTreeMap<WorkspaceId, VecDeque<Waiting>>;
+type WorkspaceQueues = BTreeMap<WorkspaceId, VecDeque<Waiter>>;
 
 /// Queue of waiting requests.
 ///
@@ -30,22 +30,22 @@
 /// cost it nothing.
 #[derive(Clone, Debug, Default)]
 pub struct FairQueue {
-    lanes: BTreeMap<Priority, Lanes>,
+    lanes: BTreeMap<Priority, WorkspaceQueues>,
     finish_tags: BTreeMap<WorkspaceId, u64>,
     virtual_time: u64,
 }
 
 impl FairQueue {
     /// Adds a request at the end of its workspace's lane.
-    pub fn push(&mut self, waiting: Waiting) {
+    pub fn push(&mut self, waiting: Waiter) {
         let lanes = self.lanes.entry(waiting.priority).or_default();
         lanes.entry(waiting.workspace.clone()).or_default().push_back(waiting);
     }
 
     /// Takes the next request of a workspace that `may_start`, and charges it.
-    pub fn pop(&mut self, may_start: impl Fn(&WorkspaceId) -> bool) -> Option<Waiting> {
+    pub fn pop(&mut self, may_start: impl Fn(&WorkspaceId) -> bool) -> Option<Waiter> {
         let (priority, workspace) = self.next_lane(may_start)?;
-        let waiting = self.take_front(priority, &workspace)?;
+        let waiting = self.pop_front_of(priority, &workspace)?;
         self.charge(&workspace, waiting.tokens);
         Some(waiting)
     }
@@ -59,18 +59,18 @@
     }
 
     /// Removes the request with `ticket`.
-    pub fn remove(&mut self, ticket: Ticket) -> Option<Waiting> {
-        let removed = self.remove_where(|waiting| waiting.ticket == ticket);
+    pub fn remove(&mut self, id: AdmissionId) -> Option<Waiter> {
+        let removed = self.remove_where(|waiting| waiting.id == id);
         removed.into_iter().next()
     }
 
     /// Removes the requests that are to be refused at `now`.
-    pub fn remove_expired(&mut self, now: Instant) -> Vec<Waiting> {
-        self.remove_where(|waiting| waiting.until <= now)
+    pub fn remove_expired(&mut self, now: Instant) -> Vec<Waiter> {
+        self.remove_where(|waiting| waiting.expires_at <= now)
     }
 
     /// Returns how many requests would start before a new one of `workspace` and `priority`.
-    pub fn ahead(&self, workspace: &WorkspaceId, priority: Priority) -> usize {
+    pub fn requests_ahead(&self, workspace: &WorkspaceId, priority: Priority) -> usize {
         let higher: usize = self
             .lanes
             .range(priority..)
@@ -116,7 +116,7 @@
         self.finish_tags.get(workspace).copied().unwrap_or(0).max(self.virtual_time)
     }
 
-    fn take_front(&mut self, priority: Priority, workspace: &WorkspaceId) -> Option<Waiting> {
+    fn pop_front_of(&mut self, priority: Priority, workspace: &WorkspaceId) -> Option<Waiter> {
         let lanes = self.lanes.get_mut(&priority)?;
         let lane = lanes.get_mut(workspace)?;
         let waiting = lane.pop_front();
@@ -126,7 +126,7 @@
         waiting
     }
 
-    fn remove_where(&mut self, matches: impl Fn(&Waiting) -> bool) -> Vec<Waiting> {
+    fn remove_where(&mut self, matches: impl Fn(&Waiter) -> bool) -> Vec<Waiter> {
         let mut removed = Vec::new();
         for lanes in self.lanes.values_mut() {
             for lane in lanes.values_mut() {
--- a/src/decision/admission/messages.rs
+++ b/src/decision/admission/messages.rs
@@ -5,13 +5,13 @@
 use strum::{Display, IntoStaticStr};
 
 /// Number of a request within one node.
-pub type Ticket = u64;
+pub type AdmissionId = u64;
 
 /// Request that asks to start.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct AdmissionRequest {
     /// Ticket, not used before.
-    pub ticket: Ticket,
+    pub id: AdmissionId,
     /// Workspace.
     pub workspace: WorkspaceId,
     /// Priority.
@@ -24,13 +24,13 @@
 
 /// Answer to a request that asks to start.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub enum Verdict {
+pub enum AdmissionDecision {
     /// The request starts now.
     Start,
     /// The request waits; it is refused if it has not started by `until`.
     Wait {
         /// When the request is refused.
-        until: Instant,
+        expires_at: Instant,
     },
     /// The request is not run.
     Refuse(Refusal),
@@ -47,9 +47,9 @@
 
 /// Waiting request that is refused.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct Refused {
+pub struct RefusedWaiter {
     /// Ticket.
-    pub ticket: Ticket,
+    pub id: AdmissionId,
     /// Refusal.
     pub refusal: Refusal,
 }
--- a/src/decision/admission/mod.rs
+++ b/src/decision/admission/mod.rs
@@ -7,8 +7,10 @@
 pub mod state;
 pub mod token_bucket;
 
-pub use config::{AdmissionConfig, SHORTEST_RETRY};
+pub use config::{AdmissionConfig, MIN_RETRY_DELAY};
 pub use fair_queue::FairQueue;
-pub use messages::{AdmissionRequest, Refusal, RefusalReason, Refused, Ticket, Verdict};
+pub use messages::{
+    AdmissionDecision, AdmissionId, AdmissionRequest, Refusal, RefusalReason, RefusedWaiter,
+};
 pub use state::Admission;
 pub use token_bucket::TokenBucket;
--- a/src/decision/admission/state.rs
+++ b/src/decision/admission/state.rs
@@ -1,9 +1,9 @@
 //! State machine of admission on one node.
 
-use super::fair_queue::Waiting;
+use super::fair_queue::Waiter;
 use super::{
-    AdmissionConfig, AdmissionRequest, FairQueue, Refusal, RefusalReason, Refused, SHORTEST_RETRY,
-    Ticket, TokenBucket, Verdict,
+    AdmissionConfig, AdmissionDecision, AdmissionId, AdmissionRequest, FairQueue, MIN_RETRY_DELAY,
+    Refusal, RefusalReason, RefusedWaiter, TokenBucket,
 };
 use crate::decision::power::shared_watts;
 use crate::document::{Document, Workspace};
@@ -12,10 +12,10 @@
 use std::time::{Duration, Instant};
 
 /// Weight of a new sample in the mean service time.
-const SERVICE_TIME_WEIGHT: f64 = 0.1;
+const SERVICE_TIME_SMOOTHING: f64 = 0.1;
 
 /// Service time assumed before the first request has ended.
-const FIRST_SERVICE_TIME_S: f64 = 1.0;
+const INITIAL_SERVICE_TIME_S: f64 = 1.0;
 
 /// Admission of one node.
 #[derive(Clone, Debug)]
@@ -23,9 +23,9 @@
     config: AdmissionConfig,
     workspaces: HashMap<WorkspaceId, WorkspaceLimits>,
     queue: FairQueue,
-    running: HashMap<Ticket, Running>,
-    running_limit: usize,
-    service_time_s: f64,
+    running: HashMap<AdmissionId, RunningRequest>,
+    max_running: usize,
+    mean_service_time_s: f64,
 }
 
 #[derive(Clone, Debug)]
@@ -33,11 +33,11 @@
     requests: TokenBucket,
     tokens: TokenBucket,
     running: usize,
-    running_limit: usize,
+    max_running: usize,
 }
 
 #[derive(Clone, Debug)]
-struct Running {
+struct RunningRequest {
     workspace: WorkspaceId,
     started_at: Instant,
 }
@@ -50,8 +50,8 @@
             workspaces: HashMap::new(),
             queue: FairQueue::default(),
             running: HashMap::new(),
-            running_limit: 0,
-            service_time_s: FIRST_SERVICE_TIME_S,
+            max_running: 0,
+            mean_service_time_s: INITIAL_SERVICE_TIME_S,
         }
     }
 
@@ -62,16 +62,16 @@
         document: &Document,
         live_nodes: u32,
         now: Instant,
-    ) -> Vec<Ticket> {
+    ) -> Vec<AdmissionId> {
         let nodes = f64::from(live_nodes.max(1));
-        let slots = running_slots(document) as f64;
-        self.running_limit = share(slots * self.config.running_factor, nodes);
+        let slots = site_slots(document) as f64;
+        self.max_running = node_share(slots * self.config.overcommit_factor, nodes);
         self.workspaces
             .retain(|name, limits| limits.running > 0 || document.workspaces.contains_key(name));
         for (name, workspace) in &document.workspaces {
             self.set_workspace(name, workspace, nodes, now);
         }
-        self.start_waiting(now)
+        self.start_waiters(now)
     }
 
     fn set_workspace(
@@ -90,64 +90,69 @@
             requests: TokenBucket::new(requests_per_s, request_burst, now),
             tokens: TokenBucket::new(tokens_per_s, token_burst, now),
             running: 0,
-            running_limit: 0,
+            max_running: 0,
         });
         limits.requests.set_rate(requests_per_s, request_burst, now);
         limits.tokens.set_rate(tokens_per_s, token_burst, now);
-        limits.running_limit = share(f64::from(workspace.concurrent_requests), nodes);
+        limits.max_running = node_share(f64::from(workspace.concurrent_requests), nodes);
     }
 
     /// Decides on a new request.
-    pub fn offer(&mut self, request: AdmissionRequest, now: Instant) -> Verdict {
-        if let Err(refusal) = self.take_rates(&request, now) {
-            return Verdict::Refuse(refusal);
+    pub fn submit(&mut self, request: AdmissionRequest, now: Instant) -> AdmissionDecision {
+        if let Err(refusal) = self.consume_rates(&request, now) {
+            return AdmissionDecision::Refuse(refusal);
         }
-        if self.queue.is_empty() && self.has_room() && self.may_start(&request.workspace) {
+        if self.queue.is_empty() && self.has_free_slot() && self.may_start(&request.workspace) {
             self.queue.charge(&request.workspace, request.tokens);
-            self.start(request.ticket, request.workspace, now);
-            return Verdict::Start;
+            self.start(request.id, request.workspace, now);
+            return AdmissionDecision::Start;
         }
-        let longest_wait = self.config.longest_wait(request.priority);
+        let max_wait = self.config.max_wait(request.priority);
         let wait = self.expected_wait(&request);
-        if wait > longest_wait || now + wait >= request.deadline {
-            return Verdict::Refuse(self.config.wait_refusal(request.priority, wait, now));
+        if wait > max_wait || now + wait >= request.deadline {
+            return AdmissionDecision::Refuse(self.config.wait_refusal(
+                request.priority,
+                wait,
+                now,
+            ));
         }
-        let until = request.deadline.min(now + longest_wait);
-        self.queue.push(Waiting {
-            ticket: request.ticket,
+        let expires_at = request.deadline.min(now + max_wait);
+        self.queue.push(Waiter {
+            id: request.id,
             workspace: request.workspace,
             priority: request.priority,
             tokens: request.tokens,
-            until,
+            expires_at,
         });
-        if self.start_waiting(now).contains(&request.ticket) {
-            return Verdict::Start;
+        if self.start_waiters(now).contains(&request.id) {
+            return AdmissionDecision::Start;
         }
-        Verdict::Wait { until }
+        AdmissionDecision::Wait { expires_at }
     }
 
     /// Ends a running or waiting request; returns the requests that start.
-    pub fn finish(&mut self, ticket: Ticket, now: Instant) -> Vec<Ticket> {
-        if self.queue.remove(ticket).is_some() {
+    pub fn finish(&mut self, id: AdmissionId, now: Instant) -> Vec<AdmissionId> {
+        if self.queue.remove(id).is_some() {
             return Vec::new();
         }
-        let Some(running) = self.running.remove(&ticket) else { return Vec::new() };
+        let Some(running) = self.running.remove(&id) else { return Vec::new() };
         if let Some(limits) = self.workspaces.get_mut(&running.workspace) {
             limits.running -= 1;
         }
         let service_time_s = now.saturating_duration_since(running.started_at).as_secs_f64();
-        self.service_time_s += SERVICE_TIME_WEIGHT * (service_time_s - self.service_time_s);
-        self.start_waiting(now)
+        self.mean_service_time_s +=
+            SERVICE_TIME_SMOOTHING * (service_time_s - self.mean_service_time_s);
+        self.start_waiters(now)
     }
 
     /// Refuses the requests that have waited too long.
-    pub fn expire(&mut self, now: Instant) -> Vec<Refused> {
-        let retry_at = now + Duration::from_secs_f64(self.service_time_s).max(SHORTEST_RETRY);
+    pub fn expire(&mut self, now: Instant) -> Vec<RefusedWaiter> {
+        let retry_at = now + Duration::from_secs_f64(self.mean_service_time_s).max(MIN_RETRY_DELAY);
         let refusal = Refusal { reason: RefusalReason::WaitTooLong, retry_at };
         self.queue
             .remove_expired(now)
             .into_iter()
-            .map(|waiting| Refused { ticket: waiting.ticket, refusal })
+            .map(|waiting| RefusedWaiter { id: waiting.id, refusal })
             .collect()
     }
 
@@ -161,10 +166,10 @@
         self.queue.len()
     }
 
-    fn take_rates(&mut self, request: &AdmissionRequest, now: Instant) -> Result<(), Refusal> {
+    fn consume_rates(&mut self, request: &AdmissionRequest, now: Instant) -> Result<(), Refusal> {
         let refuse = |reason, retry_at| Err(Refusal { reason, retry_at });
         let Some(limits) = self.workspaces.get_mut(&request.workspace) else {
-            return refuse(RefusalReason::UnknownWorkspace, now + SHORTEST_RETRY);
+            return refuse(RefusalReason::UnknownWorkspace, now + MIN_RETRY_DELAY);
         };
         let tokens = f64::from(request.tokens);
         let requests_at = limits.requests.available_at(1.0, now);
@@ -181,55 +186,55 @@
     }
 
     fn expected_wait(&self, request: &AdmissionRequest) -> Duration {
-        let ahead = self.queue.ahead(&request.workspace, request.priority) as f64;
-        let by_node = (ahead + 1.0) / self.running_limit.max(1) as f64;
-        Duration::from_secs_f64(by_node * self.service_time_s)
+        let ahead = self.queue.requests_ahead(&request.workspace, request.priority) as f64;
+        let by_node = (ahead + 1.0) / self.max_running.max(1) as f64;
+        Duration::from_secs_f64(by_node * self.mean_service_time_s)
     }
 
-    fn start_waiting(&mut self, now: Instant) -> Vec<Ticket> {
+    fn start_waiters(&mut self, now: Instant) -> Vec<AdmissionId> {
         let mut started = Vec::new();
-        while self.has_room() {
+        while self.has_free_slot() {
             let workspaces = &self.workspaces;
-            let next = self.queue.pop(|workspace| has_own_room(workspaces, workspace));
+            let next = self.queue.pop(|workspace| has_workspace_slot(workspaces, workspace));
             let Some(waiting) = next else { break };
-            started.push(waiting.ticket);
-            self.start(waiting.ticket, waiting.workspace, now);
+            started.push(waiting.id);
+            self.start(waiting.id, waiting.workspace, now);
         }
         started
     }
 
-    fn start(&mut self, ticket: Ticket, workspace: WorkspaceId, now: Instant) {
+    fn start(&mut self, id: AdmissionId, workspace: WorkspaceId, now: Instant) {
         if let Some(limits) = self.workspaces.get_mut(&workspace) {
             limits.running += 1;
         }
-        self.running.insert(ticket, Running { workspace, started_at: now });
+        self.running.insert(id, RunningRequest { workspace, started_at: now });
     }
 
-    fn has_room(&self) -> bool {
-        self.running.len() < self.running_limit
+    fn has_free_slot(&self) -> bool {
+        self.running.len() < self.max_running
     }
 
     fn may_start(&self, workspace: &WorkspaceId) -> bool {
-        has_own_room(&self.workspaces, workspace)
+        has_workspace_slot(&self.workspaces, workspace)
     }
 }
 
-fn has_own_room(
+fn has_workspace_slot(
     workspaces: &HashMap<WorkspaceId, WorkspaceLimits>,
     workspace: &WorkspaceId,
 ) -> bool {
-    workspaces.get(workspace).is_some_and(|limits| limits.running < limits.running_limit)
+    workspaces.get(workspace).is_some_and(|limits| limits.running < limits.max_running)
 }
 
 /// Returns how many requests the servers run at once within the power budget.
-fn running_slots(document: &Document) -> u64 {
+fn site_slots(document: &Document) -> u64 {
     let slots = document.servers.values().map(|server| u64::from(server.concurrent_requests));
-    let most_watts = document.servers.values().map(|server| server.request_watts).max();
-    let by_power = shared_watts(document) / u64::from(most_watts.unwrap_or(1).max(1));
+    let max_request_watts = document.servers.values().map(|server| server.request_watts).max();
+    let by_power = shared_watts(document) / u64::from(max_request_watts.unwrap_or(1).max(1));
     slots.sum::<u64>().min(by_power)
 }
 
 /// Returns a node's share of `total`, at least 1.
-fn share(total: f64, nodes: f64) -> usize {
+fn node_share(total: f64, nodes: f64) -> usize {
     (total / nodes).ceil().max(1.0) as usize
 }
--- a/src/decision/admission/token_bucket.rs
+++ b/src/decision/admission/token_bucket.rs
@@ -3,7 +3,7 @@
 use std::time::{Duration, Instant};
 
 /// Longest time that a bucket asks a caller to wait.
-const LONGEST_WAIT: Duration = Duration::from_secs(60);
+const MAX_WAIT: Duration = Duration::from_secs(60);
 
 /// Token bucket; starts full.
 #[derive(Clone, Debug, PartialEq)]
@@ -35,7 +35,7 @@
         if missing <= 0.0 {
             return now;
         }
-        let wait_s = (missing / self.rate_per_s).min(LONGEST_WAIT.as_secs_f64());
+        let wait_s = (missing / self.rate_per_s).min(MAX_WAIT.as_secs_f64());
         now + Duration::from_secs_f64(wait_s)
     }
 
--- a/src/decision/frame_order/mod.rs
+++ b/src/decision/frame_order/mod.rs
@@ -10,7 +10,7 @@
 
 /// Place of a frame in an answer.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum FramePlace {
+pub enum FramePosition {
     /// A piece of the answer.
     Piece(u64),
     /// The end of the answer.
@@ -19,46 +19,48 @@
 
 /// What is done with a frame.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum FrameVerdict {
+pub enum FrameAction {
     /// The frame is relayed.
     Relay,
     /// The frame has been relayed before.
     Skip,
     /// The attempt is given up.
-    Refuse(FrameFault),
+    Refuse(FrameOrderError),
 }
 
 /// Fault in the order of frames.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum FrameFault {
+pub enum FrameOrderError {
     /// A frame came before the one that is due.
     Early {
         /// Number of the frame.
         number: u64,
         /// Number that is due.
-        due: u64,
+        expected: u64,
     },
     /// The answer ended before what has been relayed already.
-    ShortEnd {
+    EarlyEnd {
         /// Number of the last frame.
         number: u64,
         /// Number that is due.
-        due: u64,
+        expected: u64,
     },
 }
 
-impl fmt::Display for FrameFault {
+impl fmt::Display for FrameOrderError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Early { number, due } => write!(f, "frame {number} came before frame {due}"),
-            Self::ShortEnd { number, due } => {
-                write!(f, "answer ended with frame {number}, before frame {due}")
+            Self::Early { number, expected } => {
+                write!(f, "frame {number} came before frame {expected}")
+            }
+            Self::EarlyEnd { number, expected } => {
+                write!(f, "answer ended with frame {number}, before frame {expected}")
             }
         }
     }
 }
 
-impl std::error::Error for FrameFault {}
+impl std::error::Error for FrameOrderError {}
 
 impl FrameOrder {
     /// Returns the number of the frame that is due, which is the number of frames relayed.
@@ -67,19 +69,19 @@
     }
 
     /// Decides on a frame, and counts it if it is relayed.
-    pub fn judge(&mut self, place: FramePlace) -> FrameVerdict {
-        let due = self.next_frame;
-        match place {
-            FramePlace::Piece(number) | FramePlace::End(number) if number == due => {
+    pub fn accept(&mut self, position: FramePosition) -> FrameAction {
+        let expected = self.next_frame;
+        match position {
+            FramePosition::Piece(number) | FramePosition::End(number) if number == expected => {
                 self.next_frame += 1;
-                FrameVerdict::Relay
+                FrameAction::Relay
             }
-            FramePlace::Piece(number) if number < due => FrameVerdict::Skip,
-            FramePlace::End(number) if number < due => {
-                FrameVerdict::Refuse(FrameFault::ShortEnd { number, due })
+            FramePosition::Piece(number) if number < expected => FrameAction::Skip,
+            FramePosition::End(number) if number < expected => {
+                FrameAction::Refuse(FrameOrderError::EarlyEnd { number, expected })
             }
-            FramePlace::Piece(number) | FramePlace::End(number) => {
-                FrameVerdict::Refuse(FrameFault::Early { number, due })
+            FramePosition::Piece(number) | FramePosition::End(number) => {
+                FrameAction::Refuse(FrameOrderError::Early { number, expected })
             }
         }
     }
--- a/src/decision/poison/mod.rs
+++ b/src/decision/poison/mod.rs
@@ -16,7 +16,7 @@
 pub type Fingerprint = u64;
 
 /// Strikes after which a request is refused.
-pub const MOST_STRIKES: usize = 2;
+pub const REFUSAL_STRIKES: usize = 2;
 
 /// A server crashed while it ran a request.
 #[derive(Clone, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
--- a/src/decision/poison/state.rs
+++ b/src/decision/poison/state.rs
@@ -1,6 +1,6 @@
 //! Strikes of a node, its own and its partners'.
 
-use super::{Fingerprint, MOST_STRIKES, Strike, Suspicion};
+use super::{Fingerprint, REFUSAL_STRIKES, Strike, Suspicion};
 use imbl::HashMap;
 use std::time::{Duration, Instant};
 
@@ -8,17 +8,17 @@
 const STRIKE_LIFETIME: Duration = Duration::from_secs(3_600);
 
 /// Most fingerprints that are remembered; the one whose strikes end first makes room.
-const MOST_FINGERPRINTS: usize = 4_096;
+const MAX_FINGERPRINTS: usize = 4_096;
 
 /// Strike with the time at which it is forgotten.
 #[derive(Clone, Debug, Eq, PartialEq)]
-struct LiveStrike {
+struct RecordedStrike {
     strike: Strike,
-    forgotten_at: Instant,
+    expires_at: Instant,
     is_cleared: bool,
 }
 
-impl LiveStrike {
+impl RecordedStrike {
     fn is_same_crash(&self, other: &Self) -> bool {
         let (own, other) = (&self.strike, &other.strike);
         own.server == other.server && own.incarnation == other.incarnation
@@ -28,30 +28,30 @@
 /// Strikes known to a node.
 #[derive(Clone, Debug, Default)]
 pub struct PoisonState {
-    strikes: HashMap<Fingerprint, Vec<LiveStrike>>,
+    strikes: HashMap<Fingerprint, Vec<RecordedStrike>>,
 }
 
 /// Immutable view of the strikes.
 #[derive(Clone, Debug, Default)]
 pub struct PoisonView {
-    strikes: HashMap<Fingerprint, Vec<LiveStrike>>,
+    strikes: HashMap<Fingerprint, Vec<RecordedStrike>>,
 }
 
 impl PoisonState {
     /// Adds `strike`; returns whether it was new, so that partners are to be told.
     pub fn add(&mut self, strike: Strike, now: Instant) -> bool {
-        self.forget(now);
+        self.remove_expired(now);
         if self.is_known(&strike) {
             return false;
         }
-        if self.strikes.len() >= MOST_FINGERPRINTS {
-            self.make_room();
+        if self.strikes.len() >= MAX_FINGERPRINTS {
+            self.evict_oldest();
         }
-        let forgotten_at = now + STRIKE_LIFETIME;
+        let expires_at = now + STRIKE_LIFETIME;
         let fingerprint = strike.fingerprint;
-        self.strikes.entry(fingerprint).or_default().push(LiveStrike {
+        self.strikes.entry(fingerprint).or_default().push(RecordedStrike {
             strike,
-            forgotten_at,
+            expires_at,
             is_cleared: false,
         });
         true
@@ -60,16 +60,16 @@
     /// Clears a request that ran to its end: what crashed its servers was another one.
     ///
     /// The cleared strikes stay known, so that a partner that tells them again changes nothing.
-    pub fn exonerate(&mut self, fingerprint: Fingerprint) {
+    pub fn clear_strikes(&mut self, fingerprint: Fingerprint) {
         if let Some(strikes) = self.strikes.get_mut(&fingerprint) {
-            strikes.iter_mut().for_each(|live| live.is_cleared = true);
+            strikes.iter_mut().for_each(|recorded| recorded.is_cleared = true);
         }
     }
 
     /// Returns all strikes, for a partner that has just connected.
     pub fn strikes(&self) -> Vec<Strike> {
-        let all = self.strikes.values().flatten().filter(|live| !live.is_cleared);
-        all.map(|live| live.strike.clone()).collect()
+        let all = self.strikes.values().flatten().filter(|recorded| !recorded.is_cleared);
+        all.map(|recorded| recorded.strike.clone()).collect()
     }
 
     /// Returns a view that shares the strikes.
@@ -79,25 +79,26 @@
 
     fn is_known(&self, strike: &Strike) -> bool {
         let known = self.strikes.get(&strike.fingerprint);
-        known.is_some_and(|known| known.iter().any(|live| live.strike == *strike))
+        known.is_some_and(|known| known.iter().any(|recorded| recorded.strike == *strike))
     }
 
-    fn forget(&mut self, now: Instant) {
-        let is_old = |live: &LiveStrike| live.forgotten_at <= now;
-        if !self.strikes.values().flatten().any(is_old) {
+    fn remove_expired(&mut self, now: Instant) {
+        let is_expired = |recorded: &RecordedStrike| recorded.expires_at <= now;
+        if !self.strikes.values().flatten().any(is_expired) {
             return;
         }
         self.strikes = std::mem::take(&mut self.strikes)
             .into_iter()
             .filter_map(|(fingerprint, mut strikes)| {
-                strikes.retain(|live| !is_old(live));
+                strikes.retain(|recorded| !is_expired(recorded));
                 (!strikes.is_empty()).then_some((fingerprint, strikes))
             })
             .collect();
     }
 
-    fn make_room(&mut self) {
-        let last = |strikes: &[LiveStrike]| strikes.iter().map(|live| live.forgotten_at).max();
+    fn evict_oldest(&mut self) {
+        let last =
+            |strikes: &[RecordedStrike]| strikes.iter().map(|recorded| recorded.expires_at).max();
         let oldest = self.strikes.iter().min_by_key(|(_, strikes)| last(strikes));
         if let Some(fingerprint) = oldest.map(|(fingerprint, _)| *fingerprint) {
             self.strikes.remove(&fingerprint);
@@ -113,15 +114,17 @@
     /// another one stays a suspect up to one further crash, since only one of them is the cause.
     pub fn suspicion(&self, fingerprint: Fingerprint, now: Instant) -> Suspicion {
         let Some(strikes) = self.strikes.get(&fingerprint) else { return Suspicion::None };
-        let live: Vec<&LiveStrike> =
-            strikes.iter().filter(|live| live.forgotten_at > now && !live.is_cleared).collect();
-        let mut servers: Vec<_> = live.iter().map(|live| &live.strike.server).collect();
+        let live: Vec<&RecordedStrike> = strikes
+            .iter()
+            .filter(|recorded| recorded.expires_at > now && !recorded.is_cleared)
+            .collect();
+        let mut servers: Vec<_> = live.iter().map(|recorded| &recorded.strike.server).collect();
         servers.sort_unstable();
         servers.dedup();
-        match (servers.len(), live.iter().map(|live| live.forgotten_at).max()) {
+        match (servers.len(), live.iter().map(|recorded| recorded.expires_at).max()) {
             (0, _) | (_, None) => Suspicion::None,
-            (count, Some(until)) if count > MOST_STRIKES => Suspicion::Refused { until },
-            (MOST_STRIKES, Some(until)) if !self.is_shared(fingerprint, &live) => {
+            (count, Some(until)) if count > REFUSAL_STRIKES => Suspicion::Refused { until },
+            (REFUSAL_STRIKES, Some(until)) if !self.is_shared(fingerprint, &live) => {
                 Suspicion::Refused { until }
             }
             _ => Suspicion::Suspect,
@@ -129,10 +132,10 @@
     }
 
     /// Returns whether another request has all of the `crashes` too.
-    fn is_shared(&self, fingerprint: Fingerprint, crashes: &[&LiveStrike]) -> bool {
+    fn is_shared(&self, fingerprint: Fingerprint, crashes: &[&RecordedStrike]) -> bool {
         self.strikes.iter().filter(|(other, _)| **other != fingerprint).any(|(_, strikes)| {
             crashes.iter().all(|crash| {
-                strikes.iter().any(|live| !live.is_cleared && live.is_same_crash(crash))
+                strikes.iter().any(|recorded| !recorded.is_cleared && recorded.is_same_crash(crash))
             })
         })
     }
--- a/src/decision/relay/engine_choice.rs
+++ b/src/decision/relay/engine_choice.rs
@@ -5,7 +5,7 @@
 use super::fleet::Fleet;
 use super::prompt::{LEAST_KEPT_TOKENS, PrefixKey, Prompt};
 use super::server::{Server, ServerLoad, UnreadTokens};
-use crate::decision::routing::homes::rendezvous_rank;
+use crate::decision::routing::homes::rendezvous_hash;
 use crate::types::{ServerId, WeightsRevision};
 use smol_str::{SmolStr, format_smolstr};
 use std::net::SocketAddr;
@@ -87,7 +87,7 @@
         let home_key = self.home_key(candidates, prompt, wall, now);
         let mut ranked: Vec<&Server> = candidates.to_vec();
         ranked.sort_by_key(|server| {
-            let rank = rendezvous_rank(server.id_hash, home_key);
+            let rank = rendezvous_hash(server.id_hash, home_key);
             (pool.contains(&server.entry.id) != prompt.is_long_run(), std::cmp::Reverse(rank))
         });
         let mut costs: Vec<Costed<'_>> = Vec::with_capacity(HOMES_CONSIDERED);
--- a/src/decision/retry/budget.rs
+++ b/src/decision/retry/budget.rs
@@ -9,41 +9,42 @@
 const RETRIES_PER_S: f64 = 1.0;
 
 /// Most retries saved up.
-const MOST_SAVED_RETRIES: f64 = 20.0;
+const MAX_AVAILABLE_RETRIES: f64 = 20.0;
 
 /// Token bucket of retries, filled by first attempts and slowly by time.
 #[derive(Clone, Debug)]
 pub struct RetryBudget {
-    saved_retries: f64,
+    available_retries: f64,
     updated_at: Instant,
 }
 
 impl RetryBudget {
     /// Returns a full budget.
     pub fn new(now: Instant) -> Self {
-        Self { saved_retries: MOST_SAVED_RETRIES, updated_at: now }
+        Self { available_retries: MAX_AVAILABLE_RETRIES, updated_at: now }
     }
 
     /// Counts a first attempt.
-    pub fn earn(&mut self, now: Instant) {
+    pub fn record_first_attempt(&mut self, now: Instant) {
         self.refill(now);
-        self.saved_retries = (self.saved_retries + RETRIES_PER_ATTEMPT).min(MOST_SAVED_RETRIES);
+        self.available_retries =
+            (self.available_retries + RETRIES_PER_ATTEMPT).min(MAX_AVAILABLE_RETRIES);
     }
 
     /// Takes one retry and returns whether there was one.
     pub fn try_take(&mut self, now: Instant) -> bool {
         self.refill(now);
-        if self.saved_retries < 1.0 {
+        if self.available_retries < 1.0 {
             return false;
         }
-        self.saved_retries -= 1.0;
+        self.available_retries -= 1.0;
         true
     }
 
     fn refill(&mut self, now: Instant) {
         let elapsed_s = now.saturating_duration_since(self.updated_at).as_secs_f64();
         self.updated_at = self.updated_at.max(now);
-        self.saved_retries =
-            (self.saved_retries + elapsed_s * RETRIES_PER_S).min(MOST_SAVED_RETRIES);
+        self.available_retries =
+            (self.available_retries + elapsed_s * RETRIES_PER_S).min(MAX_AVAILABLE_RETRIES);
     }
 }
--- a/src/decision/retry/mod.rs
+++ b/src/decision/retry/mod.rs
@@ -9,10 +9,10 @@
 use strum::{Display, IntoStaticStr};
 
 /// Most attempts of one request.
-const MOST_ATTEMPTS: u32 = 4;
+const MAX_ATTEMPTS: u32 = 4;
 
 /// Least time left for another attempt to make sense.
-const LEAST_ATTEMPT_TIME: Duration = Duration::from_millis(50);
+const MIN_ATTEMPT_TIME: Duration = Duration::from_millis(50);
 
 /// Failed attempt.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
@@ -50,10 +50,10 @@
 ///
 /// An attempt that the server refused without acting costs no budget: it caused no work.
 pub fn decide(attempt: FailedAttempt, budget: &mut RetryBudget, now: Instant) -> RetryDecision {
-    if attempt.attempts >= MOST_ATTEMPTS {
+    if attempt.attempts >= MAX_ATTEMPTS {
         return RetryDecision::GiveUp(GiveUpReason::AttemptsUsed);
     }
-    if now + LEAST_ATTEMPT_TIME > attempt.deadline {
+    if now + MIN_ATTEMPT_TIME > attempt.deadline {
         return RetryDecision::GiveUp(GiveUpReason::DeadlineNear);
     }
     let is_free = attempt.delivery == Delivery::Refused;
--- a/src/decision/routing/baseline.rs
+++ b/src/decision/routing/baseline.rs
@@ -11,7 +11,7 @@
         &self,
         eligible: &'a [EligibleServer<'_>],
     ) -> Option<(&'a EligibleServer<'a>, RouteReason)> {
-        let turn = self.turn.fetch_add(1, Ordering::Relaxed);
+        let turn = self.next_turn.fetch_add(1, Ordering::Relaxed);
         let chosen = eligible.get(turn.checked_rem(eligible.len())?)?;
         Some((chosen, RouteReason::Turn))
     }
@@ -21,7 +21,7 @@
         &self,
         eligible: &'a [EligibleServer<'_>],
     ) -> Option<(&'a EligibleServer<'a>, RouteReason)> {
-        let turn = self.turn.fetch_add(1, Ordering::Relaxed);
+        let turn = self.next_turn.fetch_add(1, Ordering::Relaxed);
         let count = eligible.len();
         let chosen = (0..count)
             .map(|step| &eligible[(turn + step) % count])
--- a/src/decision/routing/explain.rs
+++ b/src/decision/routing/explain.rs
@@ -70,13 +70,13 @@
         let mut servers: Vec<ServerBelief> = known
             .filter_map(|state| {
                 let info = state.info.as_ref()?;
-                let report = state.report.as_ref();
+                let report = state.last_report.as_ref();
                 Some(ServerBelief {
                     server: info.id.clone(),
                     address: info.address,
                     in_service: state.is_in_service(),
                     leaving: state.is_listed_leaving || state.is_reported_leaving,
-                    failures: state.failures,
+                    failures: state.consecutive_failures,
                     own_requests: info.counters.outstanding_requests(),
                     reported_requests: report.map(|report| report.requests),
                     reported_ms_ago: report.map(|report| ms_since(report.asked_at, now)),
@@ -92,7 +92,7 @@
 
     fn level_belief(&self, level: &PrefixLevel, now: Instant) -> LevelBelief {
         let entry = self.prefixes.get(&level.key);
-        let kept = entry.and_then(|entry| entry.kept).filter(|kept| kept.valid_until > now);
+        let stored = entry.and_then(|entry| entry.stored).filter(|stored| stored.valid_until > now);
         let holders = entry.into_iter().flat_map(|entry| &entry.holders).filter_map(|holder| {
             let info = self.state(holder.server)?.info.as_ref()?;
             Some(BelievedHolder {
@@ -105,7 +105,7 @@
             prefix_key: format!("{:016x}", level.key),
             bytes: level.bytes,
             tokens: level.tokens,
-            kept_tokens: kept.map(|kept| kept.tokens),
+            kept_tokens: stored.map(|stored| stored.tokens),
             holders: holders.collect(),
         }
     }
--- a/src/decision/routing/feedback.rs
+++ b/src/decision/routing/feedback.rs
@@ -1,11 +1,11 @@
 //! What reports, cache events and answers teach the routing state.
 
 use super::RoutingState;
-use super::belief::{Holder, KeptTokens};
 use super::fleet::ServerIndex;
-use super::homes::HomeDemand;
-use super::load::{FirstTokenTime, ServerState};
-use super::messages::{AnswerFeedback, AnswerTiming, KeptPrefix, SentRequest};
+use super::homes::HomeCountInputs;
+use super::load::{ServerState, TimeToFirstToken};
+use super::messages::{AnswerFeedback, AnswerTiming, SentRequest, StoredPrefix};
+use super::prefix_index::{Holder, StoredTokens};
 use crate::ports::{CacheEvent, CacheEventPage, LoadReport};
 use crate::types::{Incarnation, ServerId};
 use std::sync::Arc;
@@ -14,7 +14,7 @@
 /// Tokens of an engine's cache block; only whole blocks are cached.
 const BLOCK_TOKENS: f64 = 16.0;
 /// Prefixes that wait to be asked for at the KV store.
-const MAX_KEPT_QUERIES: usize = 64;
+const MAX_STORE_QUERIES: usize = 64;
 
 impl RoutingState {
     pub(super) fn apply_load(
@@ -27,9 +27,9 @@
         let config = Arc::clone(&self.config);
         let mut models_changed = false;
         self.update_server(server, |state| {
-            let before = state.report.as_ref().map(|report| Arc::clone(&report.models));
-            state.report(report, asked_at, &config, now);
-            let after = state.report.as_ref().map(|report| &report.models);
+            let before = state.last_report.as_ref().map(|report| Arc::clone(&report.models));
+            state.apply_report(report, asked_at, &config, now);
+            let after = state.last_report.as_ref().map(|report| &report.models);
             models_changed = before.as_ref() != after;
         });
         if models_changed {
@@ -40,16 +40,18 @@
     pub(super) fn apply_events(&mut self, server: &ServerId, page: &CacheEventPage, now: Instant) {
         let Some(index) = self.fleet.index(server) else { return };
         let mut is_current = false;
-        self.update_server(server, |state| is_current = state.take_page(page, now));
+        self.update_server(server, |state| is_current = state.apply_page(page, now));
         if !is_current {
             return;
         }
         for event in &page.events {
             match *event {
                 CacheEvent::Stored { prefix_key, .. } => {
-                    self.believe(prefix_key, index, page.incarnation, now);
+                    self.add_holder(prefix_key, index, page.incarnation, now);
+                }
+                CacheEvent::Evicted { prefix_key, .. } => {
+                    self.prefixes.remove_holder(prefix_key, index)
                 }
-                CacheEvent::Evicted { prefix_key, .. } => self.beliefs.remove(prefix_key, index),
             }
         }
     }
@@ -57,16 +59,16 @@
     pub(super) fn apply_sent(&mut self, sent: &SentRequest, now: Instant) {
         let Some(index) = self.fleet.index(&sent.server) else { return };
         let Some(state) = self.servers.get(index as usize) else { return };
-        let incarnation = state.incarnations.current();
-        let demand = self.home_demand(state);
+        let incarnation = state.incarnations.confirmed();
+        let inputs = self.home_count_inputs(state);
         for level in &sent.levels {
             if level.anchor {
-                self.ask_kept(level.key, now);
-                let entry = self.beliefs.entry(level.key, &self.config, now);
-                entry.rate.count(demand, &self.config, now);
+                self.queue_store_query(level.key, now);
+                let entry = self.prefixes.entry_or_insert(level.key, &self.config, now);
+                entry.rate.record_request(inputs, &self.config, now);
             }
             if let Some(incarnation) = incarnation {
-                self.believe(level.key, index, incarnation, now);
+                self.add_holder(level.key, index, incarnation, now);
             }
         }
     }
@@ -76,48 +78,54 @@
         let mut is_current = false;
         self.update_server(&answer.server, |state| {
             is_current = state.observe_incarnation(answer.incarnation, now);
-            state.succeed();
+            state.record_success();
         });
         if !is_current {
             return;
         }
         for level in &answer.levels {
-            self.believe(level.key, index, answer.incarnation, now);
+            self.add_holder(level.key, index, answer.incarnation, now);
         }
         if let Some(timing) = &answer.timing {
-            self.learn_belief(answer, timing);
+            self.learn_cache_lifetime(answer, timing);
             self.learn_timing(answer, timing, now);
         }
     }
 
-    pub(super) fn apply_kept(&mut self, kept: &[KeptPrefix], now: Instant) {
-        let valid_until = now + self.config.kept_lifetime;
-        for prefix in kept {
-            let entry = self.beliefs.entry(prefix.key, &self.config, now);
-            entry.kept = Some(KeptTokens { tokens: prefix.tokens, valid_until });
+    pub(super) fn apply_stored(&mut self, stored: &[StoredPrefix], now: Instant) {
+        let valid_until = now + self.config.store_answer_lifetime;
+        for prefix in stored {
+            let entry = self.prefixes.entry_or_insert(prefix.key, &self.config, now);
+            entry.stored = Some(StoredTokens { tokens: prefix.tokens, valid_until });
         }
     }
 
-    fn believe(&mut self, key: u64, server: ServerIndex, incarnation: Incarnation, now: Instant) {
+    fn add_holder(
+        &mut self,
+        key: u64,
+        server: ServerIndex,
+        incarnation: Incarnation,
+        now: Instant,
+    ) {
         let holder = Holder { server, incarnation, used_at: now };
-        self.beliefs.store(key, holder, &self.config, now);
+        self.prefixes.add_holder(key, holder, &self.config, now);
     }
 
     /// Notes that the KV store should be asked for `key`, unless its answer is still relied on.
-    fn ask_kept(&mut self, key: u64, now: Instant) {
-        let kept = self.beliefs.get(key).and_then(|entry| entry.kept);
-        let is_known = kept.is_some_and(|kept| now < kept.valid_until);
-        if is_known || self.kept_queries.len() >= MAX_KEPT_QUERIES {
+    fn queue_store_query(&mut self, key: u64, now: Instant) {
+        let stored = self.prefixes.get(key).and_then(|entry| entry.stored);
+        let is_known = stored.is_some_and(|stored| now < stored.valid_until);
+        if is_known || self.store_queries.len() >= MAX_STORE_QUERIES {
             return;
         }
-        if !self.kept_queries.contains(&key) {
-            self.kept_queries.push_back(key);
+        if !self.store_queries.contains(&key) {
+            self.store_queries.push_back(key);
         }
     }
 
-    fn home_demand(&self, state: &ServerState) -> HomeDemand {
+    fn home_count_inputs(&self, state: &ServerState) -> HomeCountInputs {
         let info = state.info.as_ref();
-        HomeDemand {
+        HomeCountInputs {
             live_nodes: self.live_nodes,
             occupancy_s: state.occupancy_s,
             concurrent_requests: info.map_or(1, |info| info.concurrent_requests),
@@ -126,13 +134,13 @@
     }
 
     /// Compares what was cached with what was believed when the server was chosen.
-    fn learn_belief(&mut self, answer: &AnswerFeedback, timing: &AnswerTiming) {
+    fn learn_cache_lifetime(&mut self, answer: &AnswerFeedback, timing: &AnswerTiming) {
         let config = Arc::clone(&self.config);
-        let Some(held) = timing.expectation.held else { return };
-        let age = timing.sent_at.saturating_duration_since(held.used_at);
-        let was_cached = was_cached(answer, held.bytes);
+        let Some(level) = timing.expectation.cached_level else { return };
+        let age = timing.sent_at.saturating_duration_since(level.used_at);
+        let was_cached = was_cached(answer, level.bytes);
         self.update_server(&answer.server, |state| {
-            state.observe_belief(age.as_secs_f64(), was_cached, &config);
+            state.observe_cache_age(age.as_secs_f64(), was_cached, &config);
         });
     }
 
@@ -140,29 +148,34 @@
         let Some(model) = self.fleet.models.get(&answer.model) else { return };
         let prefill_tokens_per_s = model.prefill_tokens_per_s;
         let config = Arc::clone(&self.config);
-        let mut typical_wait = self.typical_wait;
-        let computed_tokens = answer.prompt_tokens.saturating_sub(answer.cached_tokens);
+        let mut fleet_excess_wait = self.fleet_excess_wait;
+        let prefilled_tokens = answer.prompt_tokens.saturating_sub(answer.cached_tokens);
         self.update_server(&answer.server, |state| {
             let Some(info) = state.info.clone() else { return };
             // Without the wait, which would make a queue look like demand for more homes.
             let decode = timing.ended_at.saturating_duration_since(timing.first_token_at);
-            let prefill_s = f64::from(computed_tokens) / prefill_tokens_per_s;
-            state.observe_work(decode.as_secs_f64() + prefill_s, computed_tokens);
+            let prefill_s = f64::from(prefilled_tokens) / prefill_tokens_per_s;
+            state.observe_request(decode.as_secs_f64() + prefill_s, prefilled_tokens);
             let first_token = timing.first_token_at.saturating_duration_since(timing.sent_at);
-            let expected_s = f64::from(computed_tokens) / prefill_tokens_per_s
+            let expected_s = f64::from(prefilled_tokens) / prefill_tokens_per_s
                 + 2.0 * info.link_delay.as_secs_f64()
                 + f64::from(timing.expectation.wait_ms) / 1_000.0;
-            let time = FirstTokenTime { observed_s: first_token.as_secs_f64(), expected_s };
-            state.excess_wait.observe(time, &mut typical_wait, config.excess_wait_lifetime, now);
+            let time = TimeToFirstToken { observed_s: first_token.as_secs_f64(), expected_s };
+            state.excess_wait.observe(
+                time,
+                &mut fleet_excess_wait,
+                config.excess_wait_decay_time,
+                now,
+            );
         });
-        self.typical_wait = typical_wait;
+        self.fleet_excess_wait = fleet_excess_wait;
     }
 }
 
 impl ServerState {
     /// Takes in the head of a page of events; returns false if it is of a retired incarnation.
-    fn take_page(&mut self, page: &CacheEventPage, now: Instant) -> bool {
-        let before = self.incarnations.current();
+    fn apply_page(&mut self, page: &CacheEventPage, now: Instant) -> bool {
+        let before = self.incarnations.confirmed();
         if !self.observe_incarnation(page.incarnation, now) {
             return false;
         }
@@ -174,12 +187,12 @@
             let (CacheEvent::Stored { sequence, .. } | CacheEvent::Evicted { sequence, .. }) =
                 *event;
             if sequence > expected && expected > 0 {
-                self.gap_at = Some(now);
+                self.event_gap_at = Some(now);
             }
             expected = expected.max(sequence + 1);
         }
         if page.next_event > expected && expected > 0 {
-            self.gap_at = Some(now);
+            self.event_gap_at = Some(now);
         }
         self.next_event = page.next_event.max(expected);
         true
--- a/src/decision/routing/fleet.rs
+++ b/src/decision/routing/fleet.rs
@@ -18,7 +18,7 @@
 #[derive(Debug, Default)]
 pub struct ServerCounters {
     outstanding_requests: AtomicU32,
-    prefill_tokens: AtomicU64,
+    pending_prefill_tokens: AtomicU64,
 }
 
 impl ServerCounters {
@@ -28,23 +28,23 @@
     }
 
     /// Returns the prompt tokens of requests under way whose first token has not come.
-    pub fn prefill_tokens(&self) -> u64 {
-        self.prefill_tokens.load(Ordering::Relaxed)
+    pub fn pending_prefill_tokens(&self) -> u64 {
+        self.pending_prefill_tokens.load(Ordering::Relaxed)
     }
 
     /// Counts a request as under way.
-    pub fn begin(&self, prefill_tokens: u32) {
+    pub fn begin_request(&self, pending_prefill_tokens: u32) {
         self.outstanding_requests.fetch_add(1, Ordering::Relaxed);
-        self.prefill_tokens.fetch_add(u64::from(prefill_tokens), Ordering::Relaxed);
+        self.pending_prefill_tokens.fetch_add(u64::from(pending_prefill_tokens), Ordering::Relaxed);
     }
 
     /// Takes back the prompt tokens of a request whose first token has come.
-    pub fn first_token(&self, prefill_tokens: u32) {
-        self.prefill_tokens.fetch_sub(u64::from(prefill_tokens), Ordering::Relaxed);
+    pub fn finish_prefill(&self, pending_prefill_tokens: u32) {
+        self.pending_prefill_tokens.fetch_sub(u64::from(pending_prefill_tokens), Ordering::Relaxed);
     }
 
     /// Ends the count of a request.
-    pub fn end(&self) {
+    pub fn end_request(&self) {
         self.outstanding_requests.fetch_sub(1, Ordering::Relaxed);
     }
 }
@@ -76,7 +76,7 @@
     /// Tokens of kept KV cache that a server imports a second.
     pub import_tokens_per_s: f64,
     /// Least number of servers that serve the model.
-    pub least_servers: usize,
+    pub min_servers: usize,
 }
 
 /// Names, models and workspaces of the document; changes with the document alone.
@@ -105,7 +105,7 @@
                 weights_version: model.weights_version.clone(),
                 prefill_tokens_per_s: f64::from(model.prefill_tokens_per_s),
                 import_tokens_per_s: f64::from(model.import_tokens_per_s),
-                least_servers: model.least_servers as usize,
+                min_servers: model.least_servers as usize,
             };
             std::iter::once(id).chain(&model.adapters).map(move |id| (id.clone(), info.clone()))
         });
@@ -156,24 +156,24 @@
 /// Incarnations of a server: the last one seen and some before it, which never come back.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Incarnations {
-    last: Option<Incarnation>,
+    last_seen: Option<Incarnation>,
     is_confirmed: bool,
     retired: [Option<Incarnation>; 4],
 }
 
 impl Incarnations {
     /// Returns the present incarnation, none while it is unknown.
-    pub fn current(&self) -> Option<Incarnation> {
-        self.last.filter(|_| self.is_confirmed)
+    pub fn confirmed(&self) -> Option<Incarnation> {
+        self.last_seen.filter(|_| self.is_confirmed)
     }
 
     /// Returns the last incarnation seen.
-    pub fn last(&self) -> Option<Incarnation> {
-        self.last
+    pub fn last_seen(&self) -> Option<Incarnation> {
+        self.last_seen
     }
 
     /// Takes in that the server may have come back empty; the next answer confirms or denies it.
-    pub fn doubt(&mut self) {
+    pub fn mark_unconfirmed(&mut self) {
         self.is_confirmed = false;
     }
 
@@ -182,7 +182,7 @@
         if self.retired.contains(&Some(seen)) {
             return false;
         }
-        if let Some(before) = self.last.replace(seen)
+        if let Some(before) = self.last_seen.replace(seen)
             && before != seen
         {
             self.retired.rotate_right(1);
--- a/src/decision/routing/load.rs
+++ b/src/decision/routing/load.rs
@@ -10,13 +10,13 @@
 /// Weight of a new observation in a smoothed value.
 const SMOOTHING: f64 = 0.2;
 /// Least factor on the trust in a home that came back empty; keeps its prefixes to it.
-const MIN_REFILLED: f64 = 0.2;
+const MIN_REFILLED_FRACTION: f64 = 0.2;
 /// Weight of a new observation in the wait that is typical of all servers.
-const TYPICAL_SMOOTHING: f64 = 0.05;
+const FLEET_SMOOTHING: f64 = 0.05;
 /// Seconds by which a first token may be late without counting as excess wait.
 const WAIT_TOLERANCE_S: f64 = 0.02;
 /// Share of the expected time by which it may be late beside that.
-const WAIT_TOLERANCE_SHARE: f64 = 0.1;
+const WAIT_TOLERANCE_FRACTION: f64 = 0.1;
 
 /// State of a server.
 #[derive(Clone, Debug)]
@@ -30,11 +30,11 @@
     /// Incarnations.
     pub incarnations: Incarnations,
     /// When the server was last found to have come back empty.
-    pub emptied_at: Option<Instant>,
+    pub restarted_at: Option<Instant>,
     /// Last report.
-    pub report: Option<ReportedLoad>,
+    pub last_report: Option<ReportedLoad>,
     /// Failures in a row.
-    pub failures: u32,
+    pub consecutive_failures: u32,
     /// Until when the server gets no request after failures.
     pub backoff_until: Option<Instant>,
     /// Wait beyond the expected one.
@@ -42,11 +42,11 @@
     /// Seconds for which a request occupies the server.
     pub occupancy_s: f64,
     /// Prompt tokens that a request had computed, on average.
-    pub computed_tokens: f64,
+    pub prefilled_tokens: f64,
     /// Seconds after which a belief is worth 1/e.
     pub cache_lifetime_s: f64,
     /// When events were last found missing.
-    pub gap_at: Option<Instant>,
+    pub event_gap_at: Option<Instant>,
     /// Sequence number of the next cache event.
     pub next_event: u64,
 }
@@ -67,7 +67,7 @@
     /// This node's requests under way when the report came.
     pub own_requests: u32,
     /// This node's prompt tokens under way when the report came.
-    pub own_prefill_tokens: u64,
+    pub own_pending_prefill_tokens: u64,
     /// Models loaded.
     pub models: Arc<[LoadedModel]>,
     /// Until when the absence of a model from `models` is relied on.
@@ -94,7 +94,7 @@
 
 /// Observed and expected time to a first token.
 #[derive(Clone, Copy, Debug)]
-pub struct FirstTokenTime {
+pub struct TimeToFirstToken {
     /// Observed seconds.
     pub observed_s: f64,
     /// Expected seconds, without any excess wait.
@@ -103,29 +103,29 @@
 
 impl ExcessWait {
     /// Returns the excess in seconds, forgotten with time constant `lifetime`.
-    pub fn seconds(&self, lifetime: Duration, now: Instant) -> f64 {
+    pub fn seconds(&self, decay_time: Duration, now: Instant) -> f64 {
         let Some(observed_at) = self.observed_at else { return 0.0 };
         let age = now.saturating_duration_since(observed_at);
-        self.seconds * (-age.as_secs_f64() / lifetime.as_secs_f64()).exp()
+        self.seconds * (-age.as_secs_f64() / decay_time.as_secs_f64()).exp()
     }
 
     /// Takes in the time of a first token; what is `typical` of all servers is no excess.
     pub fn observe(
         &mut self,
-        time: FirstTokenTime,
-        typical: &mut Self,
-        lifetime: Duration,
+        time: TimeToFirstToken,
+        fleet: &mut Self,
+        decay_time: Duration,
         now: Instant,
     ) {
-        let tolerance_s = WAIT_TOLERANCE_S + time.expected_s * WAIT_TOLERANCE_SHARE;
+        let tolerance_s = WAIT_TOLERANCE_S + time.expected_s * WAIT_TOLERANCE_FRACTION;
         let late_s = (time.observed_s - time.expected_s - tolerance_s).max(0.0);
-        let typical_s = typical.seconds(lifetime, now);
-        self.smooth((late_s - typical_s).max(0.0), SMOOTHING, lifetime, now);
-        typical.smooth(late_s, TYPICAL_SMOOTHING, lifetime, now);
+        let fleet_s = fleet.seconds(decay_time, now);
+        self.smooth((late_s - fleet_s).max(0.0), SMOOTHING, decay_time, now);
+        fleet.smooth(late_s, FLEET_SMOOTHING, decay_time, now);
     }
 
-    fn smooth(&mut self, late_s: f64, weight: f64, lifetime: Duration, now: Instant) {
-        let before = self.seconds(lifetime, now);
+    fn smooth(&mut self, late_s: f64, weight: f64, decay_time: Duration, now: Instant) {
+        let before = self.seconds(decay_time, now);
         self.seconds = before + (late_s - before) * weight;
         self.observed_at = Some(now);
     }
@@ -137,7 +137,7 @@
     /// Requests running or waiting.
     pub requests: f64,
     /// Prompt tokens waiting to be computed.
-    pub prefill_tokens: f64,
+    pub pending_prefill_tokens: f64,
 }
 
 impl ServerState {
@@ -148,15 +148,15 @@
             is_listed_leaving: false,
             is_reported_leaving: false,
             incarnations: Incarnations::default(),
-            emptied_at: None,
-            report: None,
-            failures: 0,
+            restarted_at: None,
+            last_report: None,
+            consecutive_failures: 0,
             backoff_until: None,
             excess_wait: ExcessWait::default(),
             occupancy_s: config.initial_occupancy_s,
-            computed_tokens: config.initial_computed_tokens,
+            prefilled_tokens: config.initial_prefilled_tokens,
             cache_lifetime_s: config.initial_cache_lifetime.as_secs_f64(),
-            gap_at: None,
+            event_gap_at: None,
             next_event: 0,
         }
     }
@@ -172,62 +172,63 @@
     }
 
     /// Takes in a report; one that was asked for before the last is ignored.
-    pub fn report(
+    pub fn apply_report(
         &mut self,
         report: &LoadReport,
         asked_at: Instant,
         config: &RoutingConfig,
         now: Instant,
     ) {
-        let is_stale = self.report.as_ref().is_some_and(|last| asked_at < last.asked_at);
+        let is_stale = self.last_report.as_ref().is_some_and(|last| asked_at < last.asked_at);
         if is_stale || !self.observe_incarnation(report.incarnation, now) {
             return;
         }
         self.is_reported_leaving = report.leaving;
-        self.failures = 0;
+        self.consecutive_failures = 0;
         self.backoff_until = None;
         let counters = self.info.as_ref().map(|info| &info.counters);
-        self.report = Some(ReportedLoad {
+        self.last_report = Some(ReportedLoad {
             asked_at,
             requests: report.running_requests.saturating_add(report.waiting_requests),
             waiting_requests: report.waiting_requests,
             waiting_prompt_tokens: report.waiting_prompt_tokens,
             next_event: report.next_event,
             own_requests: counters.map_or(0, |counters| counters.outstanding_requests()),
-            own_prefill_tokens: counters.map_or(0, |counters| counters.prefill_tokens()),
+            own_pending_prefill_tokens: counters
+                .map_or(0, |counters| counters.pending_prefill_tokens()),
             models: report.models.clone().into(),
-            absence_valid_until: now + config.serving_lifetime,
+            absence_valid_until: now + config.model_report_lifetime,
         });
     }
 
     /// Takes in that `seen` answered; returns false if it is a retired incarnation.
     pub fn observe_incarnation(&mut self, seen: Incarnation, now: Instant) -> bool {
-        let before = self.incarnations.last();
+        let before = self.incarnations.last_seen();
         let is_current = self.incarnations.observe(seen);
         if is_current && before.is_some_and(|before| before != seen) {
-            self.emptied_at = Some(now);
+            self.restarted_at = Some(now);
         }
         is_current
     }
 
     /// Takes in that a request failed; the server is left alone for a while.
-    pub fn fail(&mut self, config: &RoutingConfig, now: Instant) {
-        let doublings = self.failures.min(16);
+    pub fn record_failure(&mut self, config: &RoutingConfig, now: Instant) {
+        let doublings = self.consecutive_failures.min(16);
         let backoff = config.min_backoff.saturating_mul(1 << doublings).min(config.max_backoff);
-        self.failures = self.failures.saturating_add(1);
+        self.consecutive_failures = self.consecutive_failures.saturating_add(1);
         self.backoff_until = Some(now + backoff);
-        self.incarnations.doubt();
+        self.incarnations.mark_unconfirmed();
     }
 
     /// Takes in that the server answered.
-    pub fn succeed(&mut self) {
-        self.failures = 0;
+    pub fn record_success(&mut self) {
+        self.consecutive_failures = 0;
         self.backoff_until = None;
     }
 
     /// Returns whether the server serves `model` in `version`.
     pub fn serving(&self, model: &ModelId, version: &WeightsVersion, now: Instant) -> Serving {
-        let Some(report) = &self.report else { return Serving::Unknown };
+        let Some(report) = &self.last_report else { return Serving::Unknown };
         let is_loaded =
             |it: &LoadedModel| it.weights_version == *version && is_model_or_adapter(it, model);
         if report.models.iter().any(is_loaded) {
@@ -239,43 +240,43 @@
     /// Returns the load: the last report and what all nodes are thought to have sent since.
     pub fn load(&self, live_nodes: u32, config: &RoutingConfig, now: Instant) -> LoadEstimate {
         let Some(info) = &self.info else {
-            return LoadEstimate { requests: 0.0, prefill_tokens: 0.0 };
+            return LoadEstimate { requests: 0.0, pending_prefill_tokens: 0.0 };
         };
         let own_requests = f64::from(info.counters.outstanding_requests());
-        let own_tokens = info.counters.prefill_tokens() as f64;
-        let others = f64::from(live_nodes.saturating_sub(1)) * config.herd_factor;
-        let Some(report) = &self.report else {
+        let own_tokens = info.counters.pending_prefill_tokens() as f64;
+        let others = f64::from(live_nodes.saturating_sub(1)) * config.correlated_node_fraction;
+        let Some(report) = &self.last_report else {
             return LoadEstimate {
                 requests: own_requests * (1.0 + others),
-                prefill_tokens: own_tokens * (1.0 + others),
+                pending_prefill_tokens: own_tokens * (1.0 + others),
             };
         };
         let age_s = now.saturating_duration_since(report.asked_at).as_secs_f64();
-        let weight = (-age_s / config.report_lifetime.as_secs_f64()).exp();
+        let weight = (-age_s / config.report_decay_time.as_secs_f64()).exp();
         let reported_own = f64::from(report.own_requests);
         let of_others = (f64::from(report.requests) - reported_own).max(0.0) * weight;
         let sent_since = (own_requests - reported_own).max(0.0);
-        let reported_own_tokens = report.own_prefill_tokens as f64;
+        let reported_own_tokens = report.own_pending_prefill_tokens as f64;
         // A report may count cached tokens as waiting.
-        let waiting_limit = f64::from(report.waiting_requests) * self.computed_tokens;
+        let waiting_limit = f64::from(report.waiting_requests) * self.prefilled_tokens;
         let waiting = (report.waiting_prompt_tokens as f64).min(waiting_limit);
         let tokens_of_others = (waiting - reported_own_tokens).max(0.0) * weight;
         let tokens_since = (own_tokens - reported_own_tokens).max(0.0);
         LoadEstimate {
             requests: own_requests + of_others + sent_since * others,
-            prefill_tokens: own_tokens + tokens_of_others + tokens_since * others,
+            pending_prefill_tokens: own_tokens + tokens_of_others + tokens_since * others,
         }
     }
 
     /// Takes in for how long a request occupied the server, and what it had computed.
-    pub fn observe_work(&mut self, occupancy_s: f64, computed_tokens: u32) {
+    pub fn observe_request(&mut self, occupancy_s: f64, prefilled_tokens: u32) {
         self.occupancy_s += (occupancy_s - self.occupancy_s) * SMOOTHING;
-        let computed_tokens = f64::from(computed_tokens);
-        self.computed_tokens += (computed_tokens - self.computed_tokens) * SMOOTHING;
+        let prefilled_tokens = f64::from(prefilled_tokens);
+        self.prefilled_tokens += (prefilled_tokens - self.prefilled_tokens) * SMOOTHING;
     }
 
     /// Takes in whether a belief of age `age_s` turned out to be right.
-    pub fn observe_belief(&mut self, age_s: f64, was_cached: bool, config: &RoutingConfig) {
+    pub fn observe_cache_age(&mut self, age_s: f64, was_cached: bool, config: &RoutingConfig) {
         let lifetime_s = self.cache_lifetime_s;
         let target_s = match was_cached {
             true if age_s > lifetime_s / 2.0 => age_s * 2.0,
@@ -291,23 +292,29 @@
     /// Returns the probability that the server holds a prefix that it is a home of.
     ///
     /// One that has come back empty is filled again by the requests of all nodes.
-    pub fn home_trust(&self, config: &RoutingConfig, now: Instant) -> f64 {
-        let is_in_doubt = self.incarnations.last() != self.incarnations.current();
+    pub fn home_cached_probability(&self, config: &RoutingConfig, now: Instant) -> f64 {
+        let is_in_doubt = self.incarnations.last_seen() != self.incarnations.confirmed();
         if is_in_doubt {
-            return config.home_trust * MIN_REFILLED;
+            return config.home_cached_probability * MIN_REFILLED_FRACTION;
         }
-        let Some(emptied_at) = self.emptied_at else { return config.home_trust };
-        let age_s = now.saturating_duration_since(emptied_at).as_secs_f64();
-        let refilled = 1.0 - (-age_s / config.refill_time.as_secs_f64()).exp();
-        config.home_trust * refilled.max(MIN_REFILLED)
+        let Some(restarted_at) = self.restarted_at else { return config.home_cached_probability };
+        let age_s = now.saturating_duration_since(restarted_at).as_secs_f64();
+        let refilled = 1.0 - (-age_s / config.cache_refill_time.as_secs_f64()).exp();
+        config.home_cached_probability * refilled.max(MIN_REFILLED_FRACTION)
     }
 
     /// Returns the probability that what the server used at `used_at` is still cached.
-    pub fn trust(&self, used_at: Instant, config: &RoutingConfig, now: Instant) -> f64 {
+    pub fn cached_probability(
+        &self,
+        used_at: Instant,
+        config: &RoutingConfig,
+        now: Instant,
+    ) -> f64 {
         let age_s = now.saturating_duration_since(used_at).as_secs_f64();
         let by_age = (-age_s / self.cache_lifetime_s).exp();
-        let is_before_gap = self.gap_at.is_some_and(|gap_at| used_at < gap_at);
-        if is_before_gap { by_age * config.gap_trust } else { by_age }
+        let is_before_event_gap =
+            self.event_gap_at.is_some_and(|event_gap_at| used_at < event_gap_at);
+        if is_before_event_gap { by_age * config.event_gap_factor } else { by_age }
     }
 }
 
--- a/src/decision/routing/messages.rs
+++ b/src/decision/routing/messages.rs
@@ -57,12 +57,12 @@
     /// The number of live nodes, this one included, changed.
     LiveNodes(u32),
     /// The KV store told what it keeps.
-    KeptPrefixes(Vec<KeptPrefix>),
+    StoredPrefixes(Vec<StoredPrefix>),
 }
 
 /// Prefix that the store of kept KV cache was asked for.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct KeptPrefix {
+pub struct StoredPrefix {
     /// Key of the prefix.
     pub key: u64,
     /// Tokens kept under it, 0 if none.
@@ -156,14 +156,14 @@
     /// Expected wait before the server starts on the prompt, by report and count alone.
     pub wait_ms: u32,
     /// Innermost level that the server was believed to hold.
-    pub held: Option<HeldLevel>,
+    pub cached_level: Option<CachedLevel>,
     /// Whether the server is a home of the request.
     pub is_home: bool,
 }
 
 /// Level that a server was believed to hold.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct HeldLevel {
+pub struct CachedLevel {
     /// Bytes of the prompt up to the end of the level.
     pub bytes: u32,
     /// When the server last stored or used it.
--- a/src/decision/routing/mod.rs
+++ b/src/decision/routing/mod.rs
@@ -4,7 +4,6 @@
 //! the [`RoutingView`] it publishes.
 
 mod baseline;
-pub mod belief;
 pub mod config;
 pub mod explain;
 pub mod feedback;
@@ -14,6 +13,7 @@
 pub mod messages;
 pub mod poll;
 pub mod prefix;
+pub mod prefix_index;
 pub mod score;
 pub mod view;
 
@@ -25,9 +25,9 @@
 
 use crate::document::Document;
 use crate::types::{AvailabilityZone, ModelId, ServerId};
-use belief::BeliefIndex;
 use fleet::{Fleet, ServerIndex, server_info};
 use load::{ExcessWait, ServerState, Serving};
+use prefix_index::PrefixIndex;
 use std::collections::{BTreeSet, HashMap, VecDeque};
 use std::sync::Arc;
 use std::sync::atomic::AtomicUsize;
@@ -43,12 +43,12 @@
     fleet: Arc<Fleet>,
     servers: imbl::Vector<Arc<ServerState>>,
     models: Arc<HashMap<ModelId, ModelServers>>,
-    beliefs: BeliefIndex,
-    kept_queries: VecDeque<u64>,
+    prefixes: PrefixIndex,
+    store_queries: VecDeque<u64>,
     live_nodes: u32,
-    typical_wait: ExcessWait,
+    fleet_excess_wait: ExcessWait,
     models_valid_until: Option<Instant>,
-    turn: Arc<AtomicUsize>,
+    next_turn: Arc<AtomicUsize>,
 }
 
 impl Default for RoutingState {
@@ -68,12 +68,12 @@
             fleet: Arc::new(Fleet::default()),
             servers: imbl::Vector::new(),
             models: Arc::new(HashMap::new()),
-            beliefs: BeliefIndex::default(),
-            kept_queries: VecDeque::new(),
+            prefixes: PrefixIndex::default(),
+            store_queries: VecDeque::new(),
             live_nodes: 1,
-            typical_wait: ExcessWait::default(),
+            fleet_excess_wait: ExcessWait::default(),
             models_valid_until: None,
-            turn: Arc::new(AtomicUsize::new(0)),
+            next_turn: Arc::new(AtomicUsize::new(0)),
         }
     }
 
@@ -90,10 +90,10 @@
             RoutingEvent::Answer(answer) => self.apply_answer(&answer, now),
             RoutingEvent::ServerFailed { server } => {
                 let config = Arc::clone(&self.config);
-                self.update_server(&server, |state| state.fail(&config, now));
+                self.update_server(&server, |state| state.record_failure(&config, now));
             }
             RoutingEvent::LiveNodes(live_nodes) => self.live_nodes = live_nodes.max(1),
-            RoutingEvent::KeptPrefixes(kept) => self.apply_kept(&kept, now),
+            RoutingEvent::StoredPrefixes(stored) => self.apply_stored(&stored, now),
         }
         if self.models_valid_until.is_some_and(|until| until <= now) {
             self.update_models(now);
@@ -108,31 +108,31 @@
             fleet: Arc::clone(&self.fleet),
             servers: self.servers.clone(),
             models: Arc::clone(&self.models),
-            prefixes: self.beliefs.entries(),
+            prefixes: self.prefixes.entries(),
             live_nodes: self.live_nodes,
-            turn: Arc::clone(&self.turn),
+            next_turn: Arc::clone(&self.next_turn),
         }
     }
 
     /// Returns the prefixes known.
-    pub fn beliefs(&self) -> &BeliefIndex {
-        &self.beliefs
+    pub fn prefixes(&self) -> &PrefixIndex {
+        &self.prefixes
     }
 
     /// Takes up to `limit` prefixes that the KV store should be asked for.
-    pub fn take_kept_queries(&mut self, limit: usize) -> Vec<u64> {
-        let count = self.kept_queries.len().min(limit);
-        self.kept_queries.drain(..count).collect()
+    pub fn take_store_queries(&mut self, limit: usize) -> Vec<u64> {
+        let count = self.store_queries.len().min(limit);
+        self.store_queries.drain(..count).collect()
     }
 
     /// Returns the sequence number to ask `server` for cache events from.
     ///
     /// Events that a page of `page_events` cannot hold are skipped: late news is worse than none.
-    pub fn next_events_from(&mut self, server: &ServerId, page_events: u64) -> u64 {
+    pub fn next_event_sequence(&mut self, server: &ServerId, max_events: u64) -> u64 {
         let mut from = 0;
         self.update_server(server, |state| {
-            let reported = state.report.as_ref().map_or(0, |report| report.next_event);
-            state.next_event = state.next_event.max(reported.saturating_sub(page_events));
+            let reported = state.last_report.as_ref().map_or(0, |report| report.next_event);
+            state.next_event = state.next_event.max(reported.saturating_sub(max_events));
             from = state.next_event;
         });
         from
@@ -177,7 +177,7 @@
 
     /// Works out anew which servers may serve each model.
     fn update_models(&mut self, now: Instant) {
-        let reports = self.servers.iter().filter_map(|state| state.report.as_ref());
+        let reports = self.servers.iter().filter_map(|state| state.last_report.as_ref());
         let deadlines = reports.map(|report| report.absence_valid_until);
         self.models_valid_until = deadlines.filter(|until| now < *until).min();
         let models = self.fleet.models.iter().map(|(id, info)| {
@@ -204,7 +204,7 @@
                 Serving::No => {}
             }
         }
-        if serving.len() < info.least_servers {
+        if serving.len() < info.min_servers {
             serving.append(&mut unknown);
             serving.sort_unstable();
         }
--- a/src/decision/routing/poll.rs
+++ b/src/decision/routing/poll.rs
@@ -12,15 +12,15 @@
     /// Bytes that may be spent at once after a pause.
     pub burst_bytes: f64,
     /// Share of the budget that cache events take; load reports take the rest.
-    pub events_share: f64,
+    pub events_fraction: f64,
     /// Time between load reports of a server in use.
     pub load_interval: Duration,
     /// Time between pages of cache events of a server in use.
     pub events_interval: Duration,
     /// Time after its last use for which a server counts as in use.
-    pub use_lifetime: Duration,
+    pub in_use_period: Duration,
     /// Bytes assumed of an answer before one was seen.
-    pub initial_bytes: f64,
+    pub initial_answer_bytes: f64,
     /// Time after which a poll without an answer may be repeated.
     pub poll_timeout: Duration,
 }
@@ -30,11 +30,11 @@
         Self {
             budget_bytes_per_s: 8_000.0,
             burst_bytes: 8_000.0,
-            events_share: 0.25,
+            events_fraction: 0.25,
             load_interval: Duration::from_millis(250),
             events_interval: Duration::from_secs(1),
-            use_lifetime: Duration::from_secs(5),
-            initial_bytes: 500.0,
+            in_use_period: Duration::from_secs(5),
+            initial_answer_bytes: 500.0,
             poll_timeout: Duration::from_secs(1),
         }
     }
@@ -86,13 +86,13 @@
 
 /// Budget of one kind of poll.
 #[derive(Clone, Copy, Debug)]
-struct KindBudget {
+struct PollBudget {
     /// Share of the whole budget.
-    share: f64,
+    fraction: f64,
     /// Bytes that may be spent now; below 0 after an answer that was larger than expected.
-    left_bytes: f64,
+    available_bytes: f64,
     /// Mean bytes of an answer.
-    answer_bytes: f64,
+    mean_answer_bytes: f64,
 }
 
 /// Chooses the polls; the control thread sends them and reports what they cost.
@@ -100,22 +100,22 @@
 pub struct PollPlanner {
     config: PollConfig,
     servers: HashMap<ServerId, PolledServer>,
-    load_budget: KindBudget,
-    events_budget: KindBudget,
+    load_budget: PollBudget,
+    events_budget: PollBudget,
     refilled_at: Option<Instant>,
 }
 
 impl PollPlanner {
     /// Returns a planner without servers.
     pub fn new(config: PollConfig) -> Self {
-        let budget = |share| KindBudget {
-            share,
-            left_bytes: config.burst_bytes * share,
-            answer_bytes: config.initial_bytes,
+        let budget = |fraction| PollBudget {
+            fraction,
+            available_bytes: config.burst_bytes * fraction,
+            mean_answer_bytes: config.initial_answer_bytes,
         };
         Self {
-            load_budget: budget(1.0 - config.events_share),
-            events_budget: budget(config.events_share),
+            load_budget: budget(1.0 - config.events_fraction),
+            events_budget: budget(config.events_fraction),
             config,
             servers: HashMap::new(),
             refilled_at: None,
@@ -123,8 +123,8 @@
     }
 
     /// Takes in that `server` is used, or about to be.
-    pub fn note_use(&mut self, server: &ServerId, now: Instant) {
-        let in_use_until = now + self.config.use_lifetime;
+    pub fn mark_used(&mut self, server: &ServerId, now: Instant) {
+        let in_use_until = now + self.config.in_use_period;
         if let Some(known) = self.servers.get_mut(server) {
             known.in_use_until = known.in_use_until.max(in_use_until);
             return;
@@ -134,14 +134,14 @@
     }
 
     /// Takes in that a load report came with an answer, so that none need be asked for yet.
-    pub fn note_report(&mut self, server: &ServerId, now: Instant) {
+    pub fn postpone_load_poll(&mut self, server: &ServerId, now: Instant) {
         if let Some(known) = self.servers.get_mut(server) {
             known.load.due_at = known.load.due_at.max(now + self.config.load_interval);
         }
     }
 
     /// Forgets a server that left the document.
-    pub fn forget(&mut self, server: &ServerId) {
+    pub fn remove(&mut self, server: &ServerId) {
         self.servers.remove(server);
     }
 
@@ -157,7 +157,7 @@
     }
 
     /// Takes in that a poll was answered with `bytes`, or failed after `bytes`.
-    pub fn answered(&mut self, poll: &PollRequest, bytes: usize) {
+    pub fn complete(&mut self, poll: &PollRequest, bytes: usize) {
         let bytes = bytes as f64;
         let state = self.servers.get_mut(&poll.server).map(|server| server.state(poll.kind));
         let charged_bytes = state.map_or(0.0, |state| {
@@ -165,8 +165,8 @@
             std::mem::take(&mut state.charged_bytes)
         });
         let budget = self.budget(poll.kind);
-        budget.answer_bytes += (bytes - budget.answer_bytes) / 8.0;
-        budget.left_bytes += charged_bytes - bytes;
+        budget.mean_answer_bytes += (bytes - budget.mean_answer_bytes) / 8.0;
+        budget.available_bytes += charged_bytes - bytes;
     }
 
     /// Returns the time at which the next poll may be due, none if no server is in use.
@@ -180,12 +180,12 @@
         for kind in [PollKind::Load, PollKind::CacheEvents] {
             let (rate, burst) = (self.config.budget_bytes_per_s, self.config.burst_bytes);
             let budget = self.budget(kind);
-            let refilled_bytes = budget.left_bytes + elapsed_s * rate * budget.share;
-            budget.left_bytes = refilled_bytes.min(burst * budget.share);
+            let refilled_bytes = budget.available_bytes + elapsed_s * rate * budget.fraction;
+            budget.available_bytes = refilled_bytes.min(burst * budget.fraction);
         }
     }
 
-    fn budget(&mut self, kind: PollKind) -> &mut KindBudget {
+    fn budget(&mut self, kind: PollKind) -> &mut PollBudget {
         match kind {
             PollKind::Load => &mut self.load_budget,
             PollKind::CacheEvents => &mut self.events_budget,
@@ -197,7 +197,7 @@
             PollKind::Load => self.config.load_interval,
             PollKind::CacheEvents => self.config.events_interval,
         };
-        let cost_bytes = self.budget(kind).answer_bytes;
+        let cost_bytes = self.budget(kind).mean_answer_bytes;
         let mut due: Vec<(Instant, ServerId)> = self
             .servers
             .iter_mut()
@@ -208,10 +208,10 @@
         due.sort_unstable();
         for (_, server) in due {
             let budget = self.budget(kind);
-            if budget.left_bytes < cost_bytes {
+            if budget.available_bytes < cost_bytes {
                 return;
             }
-            budget.left_bytes -= cost_bytes;
+            budget.available_bytes -= cost_bytes;
             if let Some(known) = self.servers.get_mut(&server) {
                 let state = known.state(kind);
                 state.due_at = now + interval;
--- a/src/decision/routing/prefix.rs
+++ b/src/decision/routing/prefix.rs
@@ -9,7 +9,7 @@
 /// Bytes of prompt that count as one token.
 pub const BYTES_PER_TOKEN: usize = 4;
 /// Bytes between the levels of text that has no messages to cut at.
-const CUT_BYTES: usize = 2_048;
+const CUT_INTERVAL_BYTES: usize = 2_048;
 /// Levels of one prompt at most; the last reaches to the end of the prompt.
 const MAX_LEVELS: usize = 32;
 /// Least bytes that a chat message adds to be the anchor of a request.
@@ -60,7 +60,7 @@
         let content = message.get("content").map_or(Cow::Borrowed(""), text_of);
         let segment = format!("{role}\n{content}");
         let is_last = index + 1 == messages.len();
-        if is_last && segment.len() > 2 * CUT_BYTES {
+        if is_last && segment.len() > 2 * CUT_INTERVAL_BYTES {
             chain.push_cut(segment.as_bytes());
         } else if !is_last && chain.levels.len() + 2 > MAX_LEVELS {
             chain.extend(segment.as_bytes());
@@ -128,8 +128,8 @@
 
     /// Adds text cut at fixed byte boundaries.
     fn push_cut(&mut self, mut text: &[u8]) {
-        while text.len() > CUT_BYTES && self.levels.len() + 1 < MAX_LEVELS {
-            let (segment, rest) = text.split_at(CUT_BYTES);
+        while text.len() > CUT_INTERVAL_BYTES && self.levels.len() + 1 < MAX_LEVELS {
+            let (segment, rest) = text.split_at(CUT_INTERVAL_BYTES);
             self.push(segment, CutKind::Boundary);
             text = rest;
         }
--- a/src/decision/routing/belief.rs
+++ b/src/decision/routing/prefix_index.rs
@@ -10,7 +10,7 @@
 use std::time::Instant;
 
 /// Entries that the eviction hand looks at for each new prefix.
-const HAND_STEPS: usize = 3;
+const EVICTION_SCAN_ENTRIES: usize = 3;
 
 /// Prefixes by key; a clone shares all entries.
 pub type PrefixMap = imbl::GenericHashMap<
@@ -51,7 +51,7 @@
 
 /// Prefix kept by the KV store.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct KeptTokens {
+pub struct StoredTokens {
     /// Tokens kept, 0 if none.
     pub tokens: u32,
     /// Until when the answer of the store is relied on.
@@ -66,14 +66,14 @@
     /// Rate of requests from this node and the homes that follow from it.
     pub rate: PrefixRate,
     /// What the KV store keeps, none if it was not asked.
-    pub kept: Option<KeptTokens>,
+    pub stored: Option<StoredTokens>,
     /// When the entry was last used.
     pub used_at: Instant,
 }
 
 impl PrefixEntry {
     fn new(now: Instant) -> Self {
-        Self { holders: Vec::new(), rate: PrefixRate::new(now), kept: None, used_at: now }
+        Self { holders: Vec::new(), rate: PrefixRate::new(now), stored: None, used_at: now }
     }
 
     fn add_holder(&mut self, holder: Holder, max_holders: usize) {
@@ -96,12 +96,12 @@
 
 /// Index of believed prefixes, bounded in size.
 #[derive(Clone, Debug, Default)]
-pub struct BeliefIndex {
+pub struct PrefixIndex {
     entries: PrefixMap,
-    hand: VecDeque<u64>,
+    eviction_queue: VecDeque<u64>,
 }
 
-impl BeliefIndex {
+impl PrefixIndex {
     /// Returns the entries; the clone shares them with the index.
     pub fn entries(&self) -> PrefixMap {
         self.entries.clone()
@@ -123,13 +123,13 @@
     }
 
     /// Takes in that `holder` holds the prefix `key`.
-    pub fn store(&mut self, key: u64, holder: Holder, config: &RoutingConfig, now: Instant) {
-        let entry = self.entry(key, config, now);
+    pub fn add_holder(&mut self, key: u64, holder: Holder, config: &RoutingConfig, now: Instant) {
+        let entry = self.entry_or_insert(key, config, now);
         entry.add_holder(holder, config.max_holders);
     }
 
     /// Takes in that `server` no longer holds the prefix `key`.
-    pub fn remove(&mut self, key: u64, server: ServerIndex) {
+    pub fn remove_holder(&mut self, key: u64, server: ServerIndex) {
         let is_held =
             |entry: &Arc<PrefixEntry>| entry.holders.iter().any(|holder| holder.server == server);
         if !self.entries.get(&key).is_some_and(is_held) {
@@ -141,10 +141,15 @@
     }
 
     /// Returns the entry of `key`, made if it is new; a full index evicts another for it.
-    pub fn entry(&mut self, key: u64, config: &RoutingConfig, now: Instant) -> &mut PrefixEntry {
+    pub fn entry_or_insert(
+        &mut self,
+        key: u64,
+        config: &RoutingConfig,
+        now: Instant,
+    ) -> &mut PrefixEntry {
         if !self.entries.contains_key(&key) {
-            self.make_room(config, now);
-            self.hand.push_back(key);
+            self.evict_entries(config, now);
+            self.eviction_queue.push_back(key);
         }
         let entry = self.entries.entry(key).or_insert_with(|| Arc::new(PrefixEntry::new(now)));
         let entry = Arc::make_mut(entry);
@@ -153,17 +158,17 @@
     }
 
     /// Drops expired entries under the hand and, in a full index, the least recently used of some.
-    fn make_room(&mut self, config: &RoutingConfig, now: Instant) {
+    fn evict_entries(&mut self, config: &RoutingConfig, now: Instant) {
         let mut oldest: Option<u64> = None;
         let mut oldest_used_at = now;
-        for _ in 0..HAND_STEPS {
-            let Some(key) = self.hand.pop_front() else { break };
+        for _ in 0..EVICTION_SCAN_ENTRIES {
+            let Some(key) = self.eviction_queue.pop_front() else { break };
             let Some(used_at) = self.entries.get(&key).map(|entry| entry.used_at) else { continue };
             if used_at + config.max_cache_lifetime < now {
                 self.entries.remove(&key);
                 continue;
             }
-            self.hand.push_back(key);
+            self.eviction_queue.push_back(key);
             if oldest.is_none() || used_at < oldest_used_at {
                 oldest = Some(key);
                 oldest_used_at = used_at;
@@ -174,16 +179,16 @@
         }
         if let Some(key) = oldest {
             self.entries.remove(&key);
-            self.forget_last_passed(key);
+            self.remove_requeued(key);
         }
     }
 
     /// Takes `key`, which the hand has just passed, off the hand's round.
-    fn forget_last_passed(&mut self, key: u64) {
-        let from = self.hand.len().saturating_sub(HAND_STEPS);
-        let position = self.hand.iter().skip(from).position(|&passed| passed == key);
+    fn remove_requeued(&mut self, key: u64) {
+        let from = self.eviction_queue.len().saturating_sub(EVICTION_SCAN_ENTRIES);
+        let position = self.eviction_queue.iter().skip(from).position(|&passed| passed == key);
         if let Some(position) = position {
-            self.hand.remove(from + position);
+            self.eviction_queue.remove(from + position);
         }
     }
 }
--- a/src/decision/routing/score.rs
+++ b/src/decision/routing/score.rs
@@ -1,15 +1,15 @@
 //! Score of a server for a request: expected seconds, weighted as the workspace chose.
 
-use super::belief::{PrefixEntry, PrefixMap};
 use super::config::RoutingConfig;
 use super::fleet::{ModelInfo, ServerIndex, ServerInfo};
 use super::load::{LoadEstimate, ServerState};
-use super::messages::{HeldLevel, PrefixLevel};
+use super::messages::{CachedLevel, PrefixLevel};
+use super::prefix_index::{PrefixEntry, PrefixMap};
 use crate::document::ScoreWeights;
 use std::time::Instant;
 
 /// Probability from which a prefix counts as believed to be cached.
-const CACHED_TRUST: f64 = 0.5;
+const MIN_CACHED_PROBABILITY: f64 = 0.5;
 
 /// Level of a prompt and what is known of its prefix.
 #[derive(Clone, Copy, Debug)]
@@ -20,16 +20,16 @@
 
 /// Levels of a prompt and what is known of each.
 #[derive(Clone, Debug)]
-pub struct PromptBelief<'a> {
+pub struct PromptLookup<'a> {
     levels: Vec<KnownLevel<'a>>,
     anchor: usize,
     /// Tokens that the KV store keeps of the prompt.
-    kept: Option<KeptLevel>,
+    stored: Option<StoredLevel>,
 }
 
 /// Innermost level that the KV store keeps.
 #[derive(Clone, Copy, Debug)]
-struct KeptLevel {
+struct StoredLevel {
     index: usize,
     tokens: f64,
 }
@@ -40,10 +40,10 @@
     /// Expected number of tokens.
     pub tokens: f64,
     /// Whether a level beyond chance is believed to be cached.
-    pub is_believed: bool,
+    pub is_likely_cached: bool,
 }
 
-impl<'a> PromptBelief<'a> {
+impl<'a> PromptLookup<'a> {
     /// Returns what `prefixes` says of `levels`.
     pub fn new(levels: &[PrefixLevel], prefixes: &'a PrefixMap, now: Instant) -> Self {
         let known = |level: &PrefixLevel| {
@@ -52,8 +52,8 @@
         };
         let levels: Vec<KnownLevel<'a>> = levels.iter().map(known).collect();
         let anchor = levels.iter().position(|known| known.level.anchor).unwrap_or(0);
-        let kept = kept_level(&levels, now);
-        Self { levels, anchor, kept }
+        let stored = stored_level(&levels, now);
+        Self { levels, anchor, stored }
     }
 
     /// Returns the tokens of the prompt.
@@ -67,9 +67,9 @@
     }
 
     /// Returns the number of homes of the anchor.
-    pub fn homes(&self) -> u32 {
+    pub fn home_count(&self) -> u32 {
         let entry = self.levels.get(self.anchor).and_then(|known| known.entry);
-        entry.map_or(1, |entry| entry.rate.homes())
+        entry.map_or(1, |entry| entry.rate.home_count())
     }
 
     /// Returns the servers that are believed to hold some level.
@@ -79,11 +79,11 @@
     }
 
     /// Returns the factor on the home trust of a server of some rank for the anchor.
-    fn spare_factor(&self, rank: Option<usize>, config: &RoutingConfig) -> f64 {
+    fn home_rank_factor(&self, rank: Option<usize>, config: &RoutingConfig) -> f64 {
         let Some(rank) = rank else { return 0.0 };
-        let beyond = rank.saturating_sub(self.homes() as usize - 1);
-        let spares = i32::try_from(beyond).unwrap_or(i32::MAX);
-        config.spare_home_factor.powi(spares)
+        let ranks_beyond = rank.saturating_sub(self.home_count() as usize - 1);
+        let fallbacks = i32::try_from(ranks_beyond).unwrap_or(i32::MAX);
+        config.fallback_home_factor.powi(fallbacks)
     }
 
     /// Returns the tokens expected from the cache of `server`, a home of rank `home_rank`.
@@ -96,44 +96,45 @@
         now: Instant,
     ) -> ExpectedHit {
         let mut hit = ExpectedHit::default();
-        let home_trust = self.spare_factor(home_rank, config) * server.home_trust(config, now);
-        let is_home = home_rank.is_some_and(|rank| rank < self.homes() as usize);
-        let holder_factor = if is_home { 1.0 } else { config.stray_holder_factor };
-        let mut trust = 0.0_f64;
+        let home_cached_probability =
+            self.home_rank_factor(home_rank, config) * server.home_cached_probability(config, now);
+        let is_home = home_rank.is_some_and(|rank| rank < self.home_count() as usize);
+        let holder_factor = if is_home { 1.0 } else { config.non_home_holder_factor };
+        let mut probability = 0.0_f64;
         for (position, known) in self.levels.iter().enumerate().rev() {
-            let believed = known.trust(index, server, config, now);
-            hit.is_believed |= believed >= CACHED_TRUST;
-            trust = trust.max(holder_factor * believed);
+            let cached_probability = known.cached_probability(index, server, config, now);
+            hit.is_likely_cached |= cached_probability >= MIN_CACHED_PROBABILITY;
+            probability = probability.max(holder_factor * cached_probability);
             if position <= self.anchor {
-                trust = trust.max(home_trust);
+                probability = probability.max(home_cached_probability);
             }
             let outer = position.checked_sub(1).map_or(0, |outer| self.levels[outer].level.tokens);
-            hit.tokens += trust * f64::from(known.level.tokens.saturating_sub(outer));
+            hit.tokens += probability * f64::from(known.level.tokens.saturating_sub(outer));
         }
         hit
     }
 
     /// Returns the innermost level that `server` is believed to hold, whatever its age.
-    pub fn held_level(&self, index: ServerIndex, server: &ServerState) -> Option<HeldLevel> {
-        let incarnation = server.incarnations.current()?;
+    pub fn cached_level(&self, index: ServerIndex, server: &ServerState) -> Option<CachedLevel> {
+        let incarnation = server.incarnations.confirmed()?;
         self.levels.iter().rev().find_map(|known| {
             let mut holders = known.entry?.holders.iter();
             let holder = holders
                 .find(|holder| holder.server == index && holder.incarnation == incarnation)?;
-            Some(HeldLevel { bytes: known.level.bytes, used_at: holder.used_at })
+            Some(CachedLevel { bytes: known.level.bytes, used_at: holder.used_at })
         })
     }
 
     /// Returns the keys to import, outermost first.
     pub fn import_keys(&self) -> Vec<u64> {
-        let Some(kept) = self.kept else { return Vec::new() };
-        self.levels[..=kept.index].iter().map(|known| known.level.key).collect()
+        let Some(stored) = self.stored else { return Vec::new() };
+        self.levels[..=stored.index].iter().map(|known| known.level.key).collect()
     }
 }
 
 impl KnownLevel<'_> {
     /// Returns the probability that `server` holds the prefix in its present incarnation.
-    fn trust(
+    fn cached_probability(
         &self,
         index: ServerIndex,
         server: &ServerState,
@@ -141,24 +142,24 @@
         now: Instant,
     ) -> f64 {
         let Some(entry) = self.entry else { return 0.0 };
-        let Some(incarnation) = server.incarnations.current() else { return 0.0 };
+        let Some(incarnation) = server.incarnations.confirmed() else { return 0.0 };
         let holder = entry.holders.iter().find(|holder| holder.server == index);
         match holder {
             Some(holder) if holder.incarnation == incarnation => {
-                server.trust(holder.used_at, config, now)
+                server.cached_probability(holder.used_at, config, now)
             }
             Some(_) | None => 0.0,
         }
     }
 }
 
-fn kept_level(levels: &[KnownLevel<'_>], now: Instant) -> Option<KeptLevel> {
-    let is_kept = |known: &KnownLevel<'_>| {
-        let kept = known.entry.and_then(|entry| entry.kept);
-        kept.is_some_and(|kept| kept.tokens > 0 && now < kept.valid_until)
+fn stored_level(levels: &[KnownLevel<'_>], now: Instant) -> Option<StoredLevel> {
+    let is_stored = |known: &KnownLevel<'_>| {
+        let stored = known.entry.and_then(|entry| entry.stored);
+        stored.is_some_and(|stored| stored.tokens > 0 && now < stored.valid_until)
     };
-    let index = levels.iter().rposition(is_kept)?;
-    Some(KeptLevel { index, tokens: f64::from(levels[index].level.tokens) })
+    let index = levels.iter().rposition(is_stored)?;
+    Some(StoredLevel { index, tokens: f64::from(levels[index].level.tokens) })
 }
 
 /// Score of a server; less is better.
@@ -195,22 +196,23 @@
     /// Returns the score of a server.
     pub fn score(
         &self,
-        belief: &PromptBelief<'_>,
+        prompt: &PromptLookup<'_>,
         index: ServerIndex,
         server: &ServerState,
         info: &ServerInfo,
         home_rank: Option<usize>,
     ) -> Score {
-        let hit = belief.expected_hit(index, server, home_rank, self.config, self.now);
+        let hit = prompt.expected_hit(index, server, home_rank, self.config, self.now);
         let load = server.load(self.live_nodes, self.config, self.now);
-        let prompt_tokens = f64::from(belief.tokens());
+        let prompt_tokens = f64::from(prompt.tokens());
         let recomputed_s = (prompt_tokens - hit.tokens) / self.model.prefill_tokens_per_s;
-        let with_import_s = belief.kept.map(|kept| self.import_s(kept, hit.tokens, prompt_tokens));
+        let with_import_s =
+            prompt.stored.map(|stored| self.import_s(stored, hit.tokens, prompt_tokens));
         let imports = with_import_s.is_some_and(|import_s| import_s < recomputed_s);
         let prefill_s = with_import_s.filter(|_| imports).unwrap_or(recomputed_s);
         let link_s = 2.0 * info.link_delay.as_secs_f64();
         let wait_s = self.wait_s(server, info, load);
-        let excess_s = server.excess_wait.seconds(self.config.excess_wait_lifetime, self.now);
+        let excess_s = server.excess_wait.seconds(self.config.excess_wait_decay_time, self.now);
         let first_token_s = wait_s + excess_s + prefill_s + link_s;
         // Requests that arrive before the queue and this prefill are done are delayed by it.
         let arrivals_per_s = load.requests / server.occupancy_s;
@@ -229,16 +231,16 @@
         let slots = f64::from(info.concurrent_requests);
         let excess_requests = (load.requests + 1.0 - slots).max(0.0);
         let slot_wait_s = excess_requests * server.occupancy_s / slots;
-        let prefill_wait_s = load.prefill_tokens / self.model.prefill_tokens_per_s;
+        let prefill_wait_s = load.pending_prefill_tokens / self.model.prefill_tokens_per_s;
         slot_wait_s.max(prefill_wait_s)
     }
 
     /// Returns the seconds until the prompt is complete if the kept prefix is imported.
-    fn import_s(&self, kept: KeptLevel, hit_tokens: f64, prompt_tokens: f64) -> f64 {
-        let imported_tokens = (kept.tokens - hit_tokens).max(0.0);
-        let computed_tokens = (prompt_tokens - kept.tokens.max(hit_tokens)).max(0.0);
+    fn import_s(&self, stored: StoredLevel, hit_tokens: f64, prompt_tokens: f64) -> f64 {
+        let imported_tokens = (stored.tokens - hit_tokens).max(0.0);
+        let prefilled_tokens = (prompt_tokens - stored.tokens.max(hit_tokens)).max(0.0);
         self.config.import_overhead.as_secs_f64()
             + imported_tokens / self.model.import_tokens_per_s
-            + computed_tokens / self.model.prefill_tokens_per_s
+            + prefilled_tokens / self.model.prefill_tokens_per_s
     }
 }
--- a/src/decision/routing/view.rs
+++ b/src/decision/routing/view.rs
@@ -1,12 +1,12 @@
 //! View of the routing state that traffic threads decide on.
 
-use super::belief::PrefixMap;
 use super::config::RoutingConfig;
 use super::fleet::{Fleet, ModelInfo, ServerIndex, ServerInfo};
 use super::homes::ranked_servers;
 use super::load::ServerState;
 use super::messages::{Expectation, RouteDecision, RouteQuery, RouteReason, RoutingPolicy};
-use super::score::{PromptBelief, Score, ScoreInput};
+use super::prefix_index::PrefixMap;
+use super::score::{PromptLookup, Score, ScoreInput};
 use crate::document::ScoreWeights;
 use crate::types::{Incarnation, ModelId, ServerId};
 use std::collections::HashMap;
@@ -18,7 +18,7 @@
 /// Seconds over which equally good servers are told apart by chance.
 const TIE_BREAK_S: f64 = 0.000_1;
 /// Homes beyond the wanted number that are scored, so that a loaded one has a next.
-const SPARE_HOMES: usize = 2;
+const FALLBACK_HOMES: usize = 2;
 /// Weights where the document knows no workspace of that name.
 const DEFAULT_WEIGHTS: ScoreWeights =
     ScoreWeights { first_token: 1.0, recomputation: 0.5, zone_link: 1.0 };
@@ -42,7 +42,7 @@
     pub(super) models: Arc<HashMap<ModelId, ModelServers>>,
     pub(super) prefixes: PrefixMap,
     pub(super) live_nodes: u32,
-    pub(super) turn: Arc<AtomicUsize>,
+    pub(super) next_turn: Arc<AtomicUsize>,
 }
 
 /// Server that a request may go to.
@@ -92,32 +92,32 @@
         }
     }
 
-    /// Counts a request as under way on `server` until [`RoutingView::end`].
-    pub fn begin(&self, server: &ServerId, expected_prefill_tokens: u32) {
+    /// Counts a request as under way on `server` until [`RoutingView::end_request`].
+    pub fn begin_request(&self, server: &ServerId, expected_prefill_tokens: u32) {
         if let Some(info) = self.info(server) {
-            info.counters.begin(expected_prefill_tokens);
+            info.counters.begin_request(expected_prefill_tokens);
         }
     }
 
-    /// Takes back the prompt tokens given to [`RoutingView::begin`] once the first token has come.
-    pub fn first_token(&self, server: &ServerId, expected_prefill_tokens: u32) {
+    /// Takes back the prompt tokens given to [`RoutingView::begin_request`] once the first token has come.
+    pub fn finish_prefill(&self, server: &ServerId, expected_prefill_tokens: u32) {
         if let Some(info) = self.info(server) {
-            info.counters.first_token(expected_prefill_tokens);
+            info.counters.finish_prefill(expected_prefill_tokens);
         }
     }
 
-    /// Ends the count that [`RoutingView::begin`] started. `pending_prefill_tokens` is 0 after
-    /// [`RoutingView::first_token`], else what was given to `begin`.
-    pub fn end(&self, server: &ServerId, pending_prefill_tokens: u32) {
+    /// Ends the count that [`RoutingView::begin_request`] started. `pending_prefill_tokens` is 0 after
+    /// [`RoutingView::finish_prefill`], else what was given to `begin`.
+    pub fn end_request(&self, server: &ServerId, pending_prefill_tokens: u32) {
         if let Some(info) = self.info(server) {
-            info.counters.first_token(pending_prefill_tokens);
-            info.counters.end();
+            info.counters.finish_prefill(pending_prefill_tokens);
+            info.counters.end_request();
         }
     }
 
     /// Returns the incarnation in which `server` was last seen.
     pub fn incarnation(&self, server: &ServerId) -> Option<Incarnation> {
-        self.state(self.fleet.index(server)?)?.incarnations.current()
+        self.state(self.fleet.index(server)?)?.incarnations.confirmed()
     }
 
     fn info(&self, server: &ServerId) -> Option<&ServerInfo> {
@@ -178,7 +178,7 @@
         model: &ModelServers,
         now: Instant,
     ) -> Option<RouteDecision> {
-        let belief = PromptBelief::new(&query.levels, &self.prefixes, now);
+        let prompt = PromptLookup::new(&query.levels, &self.prefixes, now);
         let input = ScoreInput {
             config: &self.config,
             model: &model.info,
@@ -189,8 +189,8 @@
         let seed = xxh3_64(query.request.as_bytes());
         let mut best: Option<ScoredServer<'_>> = None;
         let mut second: Option<ScoredServer<'_>> = None;
-        for server in self.candidates(query, model, &belief, seed) {
-            let scored = self.scored(server, &belief, &input, seed);
+        for server in self.candidates(query, model, &prompt, seed) {
+            let scored = self.scored(server, &prompt, &input, seed);
             if best.as_ref().is_none_or(|best| scored.is_before(best)) {
                 second = best.replace(scored);
             } else if second.as_ref().is_none_or(|second| scored.is_before(second)) {
@@ -205,10 +205,10 @@
             expected_hit_tokens: best.score.hit.tokens as u32,
             queued_requests: best.score.load.requests as u32,
             reason: best.reason(),
-            import_keys: if best.score.imports { belief.import_keys() } else { Vec::new() },
+            import_keys: if best.score.imports { prompt.import_keys() } else { Vec::new() },
             expectation: Expectation {
                 wait_ms: (best.score.wait_s * 1_000.0) as u32,
-                held: belief.held_level(best.server.index, best.server.state),
+                cached_level: prompt.cached_level(best.server.index, best.server.state),
                 is_home: best.is_home,
             },
         })
@@ -223,13 +223,13 @@
         &self,
         query: &RouteQuery,
         model: &ModelServers,
-        belief: &PromptBelief<'_>,
+        prompt: &PromptLookup<'_>,
         seed: u64,
     ) -> Vec<EligibleServer<'_>> {
         let servers = &model.servers;
-        let homes = belief.homes() as usize;
+        let homes = prompt.home_count() as usize;
         let ranked =
-            ranked_servers(servers.iter().copied(), belief.anchor_key(), homes + SPARE_HOMES);
+            ranked_servers(servers.iter().copied(), prompt.anchor_key(), homes + FALLBACK_HOMES);
         let mut candidates: Vec<EligibleServer<'_>> = Vec::with_capacity(servers.len().min(64));
         for ranked in ranked {
             candidates.extend(self.eligible(query, ranked.server, Some(candidates.len())));
@@ -239,13 +239,13 @@
                 candidates.extend(self.eligible(query, index, None));
             }
         };
-        if servers.len() <= self.config.full_scan_servers {
+        if servers.len() <= self.config.max_full_scan_servers {
             servers.iter().for_each(|&(index, _)| push(index));
             return candidates;
         }
         let is_server_of_model =
             |index: &ServerIndex| servers.binary_search_by_key(index, |&(index, _)| index).is_ok();
-        belief.holders().filter(is_server_of_model).for_each(&mut push);
+        prompt.holders().filter(is_server_of_model).for_each(&mut push);
         for step in 0..self.config.sampled_servers as u64 {
             let position = (seed.rotate_left(8 * step as u32) % servers.len() as u64) as usize;
             push(servers[position].0);
@@ -256,15 +256,15 @@
     fn scored<'a>(
         &self,
         server: EligibleServer<'a>,
-        belief: &PromptBelief<'_>,
+        prompt: &PromptLookup<'_>,
         input: &ScoreInput<'_>,
         seed: u64,
     ) -> ScoredServer<'a> {
         let EligibleServer { index, state, info, home_rank } = server;
-        let mut score = input.score(belief, index, state, info, home_rank);
-        let chance = super::homes::rendezvous_rank(info.name_hash, seed) as f64 / u64::MAX as f64;
+        let mut score = input.score(prompt, index, state, info, home_rank);
+        let chance = super::homes::rendezvous_hash(info.name_hash, seed) as f64 / u64::MAX as f64;
         score.cost_s += chance * TIE_BREAK_S;
-        let is_home = home_rank.is_some_and(|rank| rank < belief.homes() as usize);
+        let is_home = home_rank.is_some_and(|rank| rank < prompt.home_count() as usize);
         ScoredServer { server, score, is_home, tier: self.tier(state, info, input.now) }
     }
 
@@ -288,7 +288,7 @@
     fn reason(&self) -> RouteReason {
         if self.score.imports {
             RouteReason::Import
-        } else if self.score.hit.is_believed {
+        } else if self.score.hit.is_likely_cached {
             RouteReason::CachedPrefix
         } else if self.is_home {
             RouteReason::Home
--- a/src/traffic/admission_gate.rs
+++ b/src/traffic/admission_gate.rs
@@ -2,7 +2,8 @@
 
 use crate::control::Snapshot;
 use crate::decision::admission::{
-    Admission, AdmissionConfig, AdmissionRequest, Refusal, RefusalReason, Ticket, Verdict,
+    Admission, AdmissionConfig, AdmissionDecision, AdmissionId, AdmissionRequest, Refusal,
+    RefusalReason,
 };
 use crate::types::{LogOffset, Priority, WorkspaceId};
 use async_channel::{Receiver, Sender};
@@ -21,8 +22,8 @@
 struct GateState {
     admission: Admission,
     limits: LimitsInForce,
-    waiting: HashMap<Ticket, Sender<Option<Refusal>>>,
-    next_ticket: Ticket,
+    waiting: HashMap<AdmissionId, Sender<Option<Refusal>>>,
+    next_id: AdmissionId,
 }
 
 /// What the limits in force were worked out from.
@@ -48,12 +49,12 @@
 /// Place of an admitted request; given back when dropped.
 pub struct Admitted {
     gate: Arc<AdmissionGate>,
-    ticket: Ticket,
+    id: AdmissionId,
 }
 
 impl Drop for Admitted {
     fn drop(&mut self) {
-        self.gate.finish(self.ticket);
+        self.gate.finish(self.id);
     }
 }
 
@@ -64,7 +65,7 @@
             admission: Admission::new(config),
             limits: LimitsInForce::default(),
             waiting: HashMap::new(),
-            next_ticket: 0,
+            next_id: 0,
         };
         Self { config, state: Mutex::new(state) }
     }
@@ -81,7 +82,7 @@
         let Some(wait) = wait else { return Ok(admitted) };
         let decided = async { wait.decided.recv().await.unwrap_or(None) };
         let expired = async {
-            Timer::at(wait.until).await;
+            Timer::at(wait.expires_at).await;
             self.expire();
             wait.decided.recv().await.unwrap_or(None)
         };
@@ -110,39 +111,39 @@
         let now = Instant::now();
         let mut state = self.lock();
         state.update_limits(snapshot, now);
-        state.next_ticket += 1;
-        let ticket = state.next_ticket;
+        state.next_id += 1;
+        let id = state.next_id;
         let request = AdmissionRequest {
-            ticket,
+            id,
             workspace: request.workspace,
             priority: request.priority,
             tokens: request.tokens,
             deadline: request.deadline,
         };
-        let verdict = state.admission.offer(request, now);
-        let wait = match verdict {
-            Verdict::Start => None,
-            Verdict::Refuse(refusal) => return Err(refusal),
-            Verdict::Wait { until } => {
+        let decision = state.admission.submit(request, now);
+        let wait = match decision {
+            AdmissionDecision::Start => None,
+            AdmissionDecision::Refuse(refusal) => return Err(refusal),
+            AdmissionDecision::Wait { expires_at } => {
                 let (decide, decided) = async_channel::bounded(1);
-                state.waiting.insert(ticket, decide);
-                Some(Wait { until, decided })
+                state.waiting.insert(id, decide);
+                Some(Wait { expires_at, decided })
             }
         };
-        Ok((Admitted { gate: Arc::clone(self), ticket }, wait))
+        Ok((Admitted { gate: Arc::clone(self), id }, wait))
     }
 
     fn expire(&self) {
         let mut state = self.lock();
         for refused in state.admission.expire(Instant::now()) {
-            state.decide(refused.ticket, Some(refused.refusal));
+            state.decide(refused.id, Some(refused.refusal));
         }
     }
 
-    fn finish(&self, ticket: Ticket) {
+    fn finish(&self, id: AdmissionId) {
         let mut state = self.lock();
-        state.waiting.remove(&ticket);
-        let started = state.admission.finish(ticket, Instant::now());
+        state.waiting.remove(&id);
+        let started = state.admission.finish(id, Instant::now());
         state.start(started);
     }
 
@@ -153,7 +154,7 @@
 
 /// Wait of a request for its decision.
 struct Wait {
-    until: Instant,
+    expires_at: Instant,
     decided: Receiver<Option<Refusal>>,
 }
 
@@ -169,16 +170,16 @@
         self.start(started);
     }
 
-    fn start(&mut self, started: Vec<Ticket>) {
-        for ticket in started {
-            self.decide(ticket, None);
+    fn start(&mut self, started: Vec<AdmissionId>) {
+        for id in started {
+            self.decide(id, None);
         }
     }
 
-    fn decide(&mut self, ticket: Ticket, refusal: Option<Refusal>) {
-        let Some(decide) = self.waiting.remove(&ticket) else { return };
+    fn decide(&mut self, id: AdmissionId, refusal: Option<Refusal>) {
+        let Some(decide) = self.waiting.remove(&id) else { return };
         if decide.try_send(refusal).is_err() {
-            log::debug!("event=admission_caller_left ticket={ticket}");
+            log::debug!("event=admission_caller_left ticket={id}");
         }
     }
 }
--- a/src/traffic/attempt.rs
+++ b/src/traffic/attempt.rs
@@ -27,7 +27,7 @@
 
 impl Drop for Attempt {
     fn drop(&mut self) {
-        self.view.end(&self.decision.server, self.pending_prefill_tokens);
+        self.view.end_request(&self.decision.server, self.pending_prefill_tokens);
     }
 }
 
@@ -41,7 +41,7 @@
     ) -> Self {
         let prompt_tokens = levels.last().map_or(0, |level| level.tokens);
         let pending_prefill_tokens = prompt_tokens.saturating_sub(decision.expected_hit_tokens);
-        view.begin(&decision.server, pending_prefill_tokens);
+        view.begin_request(&decision.server, pending_prefill_tokens);
         let seen_incarnation = view.incarnation(&decision.server);
         Self {
             decision,
@@ -90,7 +90,7 @@
         }
         self.first_token_at = Some(Instant::now());
         let prefill_tokens = std::mem::take(&mut self.pending_prefill_tokens);
-        self.view.first_token(&self.decision.server, prefill_tokens);
+        self.view.finish_prefill(&self.decision.server, prefill_tokens);
     }
 
     /// Takes in that the answer is complete, so that the server no longer draws power for it.
--- a/src/traffic/generation.rs
+++ b/src/traffic/generation.rs
@@ -8,7 +8,7 @@
 use super::{Failure, FailureCode, TrafficContext};
 use crate::adapters::deadline::within;
 use crate::control::{Snapshot, TrafficReport};
-use crate::decision::frame_order::{FrameOrder, FramePlace, FrameVerdict};
+use crate::decision::frame_order::{FrameAction, FrameOrder, FramePosition};
 use crate::decision::poison::Suspicion;
 use crate::decision::retry::{self, FailedAttempt, GiveUpReason, RetryDecision};
 use crate::decision::routing::{AnswerFeedback, RouteDecision, RouteQuery, SentRequest};
@@ -75,7 +75,7 @@
         request: GenerationRequest,
         is_suspect: bool,
     ) -> Self {
-        context.retry_budget().earn(Instant::now());
+        context.retry_budget().record_first_attempt(Instant::now());
         let mut generation = Self {
             context,
             request,
@@ -209,7 +209,7 @@
         let admission = self.context.admission.config();
         let priority = self.request.priority;
         let wait = Duration::from_millis(decision.expectation.wait_ms.into());
-        if self.attempts > 0 || wait <= admission.longest_wait(priority) {
+        if self.attempts > 0 || wait <= admission.max_wait(priority) {
             return Ok(());
         }
         let message = format!("the best server would start it after {} ms", wait.as_millis());
@@ -228,7 +228,7 @@
             work_deadline: self.request.deadline,
         };
         self.shed = Some(self.context.shed_signals.register(attempt.key.clone()));
-        let longest_wait = self.context.admission.config().longest_wait(self.request.priority);
+        let longest_wait = self.context.admission.config().max_wait(self.request.priority);
         let give_up_at = self.request.deadline.min(Instant::now() + longest_wait);
         let committed = PowerHold::commit(Arc::clone(&self.context), attempt, give_up_at).await;
         committed.map_err(|refusal| self.failure(FailureCode::Overloaded, refusal.to_string()))
@@ -251,14 +251,14 @@
 
     /// Takes a frame in order; skips one that has been relayed and refuses one that is too early.
     fn accept(&mut self, frame: EngineFrame) -> Result<Option<Part>, PeerError> {
-        let place = match &frame {
-            EngineFrame::Piece { number, .. } => FramePlace::Piece(*number),
-            EngineFrame::End { number, .. } => FramePlace::End(*number),
+        let position = match &frame {
+            EngineFrame::Piece { number, .. } => FramePosition::Piece(*number),
+            EngineFrame::End { number, .. } => FramePosition::End(*number),
         };
-        match self.order.judge(place) {
-            FrameVerdict::Relay => {}
-            FrameVerdict::Skip => return Ok(None),
-            FrameVerdict::Refuse(fault) => return Err(self.attempt_error(fault.into())),
+        match self.order.accept(position) {
+            FrameAction::Relay => {}
+            FrameAction::Skip => return Ok(None),
+            FrameAction::Refuse(fault) => return Err(self.attempt_error(fault.into())),
         }
         if self.order.next_frame() == 1 {
             self.context.count_first_token(&self.request, Instant::now());
--- a/src/traffic/handlers/service_call.rs
+++ b/src/traffic/handlers/service_call.rs
@@ -137,7 +137,7 @@
     call: &ServiceCall,
     deadline: Instant,
 ) -> Result<ServiceResponse, Failure> {
-    context.retry_budget().earn(Instant::now());
+    context.retry_budget().record_first_attempt(Instant::now());
     let mut last_error: Option<PeerError> = None;
     let mut any_unknown = false;
     for (attempts, server) in (1..).zip(servers) {
--- a/tests/routing/faults.rs
+++ b/tests/routing/faults.rs
@@ -2,7 +2,7 @@
 
 use crate::fixture::{Node, idle_report, levels, query, server};
 use coriandertide::decision::routing::{
-    KeptPrefix, PrefixLevel, RouteReason, RoutingEvent, RoutingPolicy,
+    PrefixLevel, RouteReason, RoutingEvent, RoutingPolicy, StoredPrefix,
 };
 use coriandertide::ports::{CacheEvent, CacheEventPage};
 use coriandertide::types::ServerId;
@@ -90,7 +90,7 @@
     let mut counts = std::collections::BTreeMap::new();
     for number in 0..48 {
         let decision = node.route(&format!("r{number}"), &manual());
-        view.begin(&decision.server, 100);
+        view.begin_request(&decision.server, 100);
         *counts.entry(decision.server).or_insert(0) += 1;
     }
     let most = counts.values().max().copied().unwrap();
@@ -141,8 +141,8 @@
 fn kept_cache_is_imported_where_it_beats_recomputation() {
     let mut node = Node::reported(12);
     let levels = manual();
-    let kept = KeptPrefix { key: levels[1].key, tokens: levels[1].tokens };
-    node.apply(RoutingEvent::KeptPrefixes(vec![kept]));
+    let kept = StoredPrefix { key: levels[1].key, tokens: levels[1].tokens };
+    node.apply(RoutingEvent::StoredPrefixes(vec![kept]));
     let cold = node.route("a", &levels);
     assert_eq!(cold.reason, RouteReason::Import);
     assert_eq!(cold.import_keys, vec![levels[0].key, levels[1].key]);
--- a/tests/routing/homes.rs
+++ b/tests/routing/homes.rs
@@ -1,14 +1,14 @@
 //! Homes against a full sort, and the number of homes under load.
 
 use crate::fixture::{Node, levels, property_config, server};
-use crate::twin::naive_homes;
-use coriandertide::decision::routing::homes::{HomeDemand, PrefixRate, ranked_servers};
+use crate::naive::naive_homes;
+use coriandertide::decision::routing::homes::{HomeCountInputs, PrefixRate, ranked_servers};
 use coriandertide::decision::routing::{RoutingConfig, RoutingEvent};
 use proptest::prelude::*;
 use std::time::{Duration, Instant};
 
-const DEMAND: HomeDemand =
-    HomeDemand { live_nodes: 4, occupancy_s: 1.0, concurrent_requests: 10, servers: 12 };
+const DEMAND: HomeCountInputs =
+    HomeCountInputs { live_nodes: 4, occupancy_s: 1.0, concurrent_requests: 10, servers: 12 };
 
 proptest! {
     #![proptest_config(property_config(42))]
@@ -42,13 +42,13 @@
         let mut rate = PrefixRate::new(now);
         for gap_ms in gaps_ms {
             now += Duration::from_millis(gap_ms);
-            let before = rate.homes();
-            rate.count(DEMAND, &config, now);
-            let wanted = rate.per_s(config.rate_window, now) * 4.0 / 6.0;
-            prop_assert!((1..=12).contains(&rate.homes()));
-            prop_assert!(f64::from(rate.homes()) >= wanted.min(12.0));
+            let before = rate.home_count();
+            rate.record_request(DEMAND, &config, now);
+            let wanted = rate.requests_per_s(config.rate_window, now) * 4.0 / 6.0;
+            prop_assert!((1..=12).contains(&rate.home_count()));
+            prop_assert!(f64::from(rate.home_count()) >= wanted.min(12.0));
             let may_shrink = wanted < f64::from(before - 1) * config.home_shrink_factor;
-            prop_assert!(rate.homes() >= before || may_shrink);
+            prop_assert!(rate.home_count() >= before || may_shrink);
         }
     }
 }
@@ -61,8 +61,8 @@
     let mut homes = Vec::new();
     for number in 0..2_000 {
         now += Duration::from_millis(if number % 2 == 0 { 320 } else { 346 });
-        rate.count(DEMAND, &config, now);
-        homes.push(rate.homes());
+        rate.record_request(DEMAND, &config, now);
+        homes.push(rate.home_count());
     }
     let changes = homes[100..].windows(2).filter(|pair| pair[0] != pair[1]).count();
     assert_eq!(changes, 0);
@@ -91,14 +91,14 @@
         node.advance(Duration::from_millis(50));
         node.sent(&first, &levels);
     }
-    let homes = node.state.beliefs().get(anchor).unwrap().rate.homes();
+    let homes = node.state.prefixes().get(anchor).unwrap().rate.home_count();
     assert!((20..=40).contains(&homes), "{homes} homes for 160 requests a second over 8 nodes");
     assert_eq!(node.route("later", &levels).server, first);
     let view = node.state.view();
     let mut used = std::collections::BTreeSet::new();
     for number in 0..30 {
         let chosen = node.route(&format!("burst-{number}"), &levels).server;
-        view.begin(&chosen, 0);
+        view.begin_request(&chosen, 0);
         used.insert(chosen);
     }
     assert!(used.len() > 5, "a burst of 30 stays on {used:?}");
--- a/tests/routing/main.rs
+++ b/tests/routing/main.rs
@@ -2,10 +2,10 @@
 
 #![allow(clippy::unwrap_used, reason = "a failed step of a test is to panic")]
 
-mod beliefs;
 mod faults;
 mod fixture;
 mod homes;
+mod naive;
 mod poll;
 mod prefix;
-mod twin;
+mod prefix_index;
--- a/tests/routing/twin.rs
+++ b/tests/routing/naive.rs
@@ -1,6 +1,6 @@
 //! Naive twins: flat lists and full sorts in place of the index and the ranked homes.
 
-use coriandertide::decision::routing::homes::rendezvous_rank;
+use coriandertide::decision::routing::homes::rendezvous_hash;
 use std::collections::BTreeSet;
 use std::time::Instant;
 
@@ -39,7 +39,7 @@
         true
     }
 
-    pub fn doubt(&mut self, server: u32) {
+    pub fn mark_unconfirmed(&mut self, server: u32) {
         self.doubted.insert(server);
     }
 
@@ -73,7 +73,7 @@
 /// Returns the homes of `key` by a full sort.
 pub fn naive_homes(servers: &[(u32, u64)], key: u64, count: usize) -> Vec<u32> {
     let mut ranked: Vec<(u64, u32)> =
-        servers.iter().map(|&(server, hash)| (rendezvous_rank(hash, key), server)).collect();
+        servers.iter().map(|&(server, hash)| (rendezvous_hash(hash, key), server)).collect();
     ranked.sort_unstable();
     ranked.into_iter().rev().take(count).map(|(_, server)| server).collect()
 }
--- a/tests/routing/poll.rs
+++ b/tests/routing/poll.rs
@@ -21,11 +21,11 @@
         let mut asked = std::collections::BTreeSet::new();
         for step in 0..400u64 {
             let now = started_at + Duration::from_millis(step * 100);
-            (0..servers).for_each(|number| planner.note_use(&server(number), now));
+            (0..servers).for_each(|number| planner.mark_used(&server(number), now));
             for (index, poll) in planner.plan(now).into_iter().enumerate() {
                 let bytes = answer_bytes[(step as usize + index) % answer_bytes.len()];
                 spent_bytes += bytes;
-                planner.answered(&poll, bytes);
+                planner.complete(&poll, bytes);
                 if poll.kind == PollKind::Load {
                     asked.insert(poll.server);
                 }
@@ -42,12 +42,12 @@
 fn only_servers_in_use_are_polled_and_none_twice_at_once() {
     let mut planner = PollPlanner::new(PollConfig::default());
     let now = Instant::now();
-    planner.note_use(&server(1), now);
+    planner.mark_used(&server(1), now);
     let first = planner.plan(now);
     assert_eq!(first.len(), 2);
     assert!(planner.plan(now + Duration::from_millis(300)).is_empty(), "answers are pending");
     assert!(first.iter().all(|poll| poll.server == server(1)));
-    first.iter().for_each(|poll| planner.answered(poll, 300));
+    first.iter().for_each(|poll| planner.complete(poll, 300));
     assert_eq!(planner.plan(now + Duration::from_millis(300)).len(), 1);
     assert!(planner.plan(now + Duration::from_secs(6)).is_empty(), "no longer in use");
 }
@@ -56,16 +56,16 @@
 fn a_report_that_came_with_an_answer_spares_a_poll() {
     let mut planner = PollPlanner::new(PollConfig::default());
     let start = Instant::now();
-    planner.note_use(&server(1), start);
-    planner.plan(start).iter().for_each(|poll| planner.answered(poll, 300));
+    planner.mark_used(&server(1), start);
+    planner.plan(start).iter().for_each(|poll| planner.complete(poll, 300));
     let mut polls = 0;
     for step in 1..=10 {
         let now = start + Duration::from_millis(step * 250);
-        planner.note_use(&server(1), now);
-        planner.note_report(&server(1), now);
+        planner.mark_used(&server(1), now);
+        planner.postpone_load_poll(&server(1), now);
         let due = planner.plan(now);
         polls += due.iter().filter(|poll| poll.kind == PollKind::Load).count();
-        due.iter().for_each(|poll| planner.answered(poll, 300));
+        due.iter().for_each(|poll| planner.complete(poll, 300));
     }
     assert_eq!(polls, 0);
 }
--- a/tests/routing/beliefs.rs
+++ b/tests/routing/prefix_index.rs
@@ -1,7 +1,7 @@
 //! Beliefs against the naive index, and their bounds.
 
 use crate::fixture::{Node, document, idle_report, levels, property_config, server};
-use crate::twin::NaiveIndex;
+use crate::naive::NaiveIndex;
 use coriandertide::decision::routing::{
     PrefixLevel, RoutingConfig, RoutingEvent, RoutingPolicy, RoutingState, SentRequest,
 };
@@ -97,16 +97,16 @@
         }
         Step::Failed { server: number } => {
             node.apply(RoutingEvent::ServerFailed { server: server(number) });
-            twin.doubt(number as u32);
+            twin.mark_unconfirmed(number as u32);
         }
     }
 }
 
 fn holders(node: &Node, key: u64) -> Vec<(u32, Instant)> {
-    let Some(entry) = node.state.beliefs().get(key) else { return Vec::new() };
+    let Some(entry) = node.state.prefixes().get(key) else { return Vec::new() };
     let is_valid = |server: u32, incarnation: u64| {
         let state = node.state.server(&crate::fixture::server(server as usize)).unwrap();
-        state.incarnations.current() == Some(incarnation)
+        state.incarnations.confirmed() == Some(incarnation)
     };
     let valid = entry.holders.iter().filter(|it| is_valid(it.server, it.incarnation));
     let mut holders: Vec<(u32, Instant)> = valid.map(|it| (it.server, it.used_at)).collect();
@@ -148,8 +148,8 @@
             levels[0].key = key;
             let sent = SentRequest { server: server(key as usize % 4), runner_up: None, levels };
             state.apply(RoutingEvent::Sent(sent), now);
-            prop_assert!(state.beliefs().len() <= 50);
-            prop_assert!(state.beliefs().get(key).is_some());
+            prop_assert!(state.prefixes().len() <= 50);
+            prop_assert!(state.prefixes().get(key).is_some());
         }
     }
 }
--- a/tests/traffic/admission.rs
+++ b/tests/traffic/admission.rs
@@ -2,7 +2,7 @@
 
 use super::proptest_config;
 use coriandertide::decision::admission::{
-    Admission, AdmissionConfig, AdmissionRequest, RefusalReason, Ticket, Verdict,
+    Admission, AdmissionConfig, AdmissionDecision, AdmissionId, AdmissionRequest, RefusalReason,
 };
 use coriandertide::document::{Document, RawDocument};
 use coriandertide::types::Priority;
@@ -38,9 +38,9 @@
     Document::try_from(raw).unwrap()
 }
 
-fn request(ticket: Ticket, workspace: &str, priority: Priority, now: Instant) -> AdmissionRequest {
+fn request(id: AdmissionId, workspace: &str, priority: Priority, now: Instant) -> AdmissionRequest {
     AdmissionRequest {
-        ticket,
+        id,
         workspace: workspace.into(),
         priority,
         tokens: 100,
@@ -62,12 +62,12 @@
     for live_nodes in [1, 2, 4, 8] {
         let mut admission = admission(&document, live_nodes, start);
         let mut started = 0;
-        for ticket in 0..2_000 {
-            let now = start + Duration::from_millis(ticket * 5);
-            let verdict = admission.offer(request(ticket, "large", Priority::Normal, now), now);
-            if verdict == Verdict::Start {
+        for id in 0..2_000 {
+            let now = start + Duration::from_millis(id * 5);
+            let decision = admission.submit(request(id, "large", Priority::Normal, now), now);
+            if decision == AdmissionDecision::Start {
                 started += 1;
-                admission.finish(ticket, now);
+                admission.finish(id, now);
             }
         }
         writeln!(lines, "{live_nodes} nodes: {started} of 2000 in 10 s").unwrap();
@@ -84,18 +84,18 @@
 fn refusals_say_when_to_come_back() {
     let now = Instant::now();
     let mut admission = admission(&document(1, 1_000), 1, now);
-    let verdicts: Vec<Verdict> = (0..3)
-        .map(|ticket| admission.offer(request(ticket, "small", Priority::Normal, now), now))
+    let decisions: Vec<AdmissionDecision> = (0..3)
+        .map(|id| admission.submit(request(id, "small", Priority::Normal, now), now))
         .collect();
-    let Verdict::Refuse(refusal) = &verdicts[2] else { panic!("{verdicts:?}") };
+    let AdmissionDecision::Refuse(refusal) = &decisions[2] else { panic!("{decisions:?}") };
     assert_eq!(refusal.reason, RefusalReason::RequestRate);
     assert_eq!(refusal.retry_at, now + Duration::from_secs(1));
     let again = request(3, "small", Priority::Normal, refusal.retry_at);
-    assert_eq!(admission.offer(again, refusal.retry_at), Verdict::Start);
-    let stranger = admission.offer(request(4, "nobody", Priority::Normal, now), now);
+    assert_eq!(admission.submit(again, refusal.retry_at), AdmissionDecision::Start);
+    let stranger = admission.submit(request(4, "nobody", Priority::Normal, now), now);
     assert!(matches!(
         stranger,
-        Verdict::Refuse(refusal) if refusal.reason == RefusalReason::UnknownWorkspace
+        AdmissionDecision::Refuse(refusal) if refusal.reason == RefusalReason::UnknownWorkspace
     ));
 }
 
@@ -105,15 +105,15 @@
     let mut lines = String::new();
     for priority in [Priority::Batch, Priority::Normal, Priority::Interactive] {
         let mut admission = admission(&document(1_000, 1), 1, now);
-        admission.offer(request(0, "small", priority, now), now);
+        admission.submit(request(0, "small", priority, now), now);
         // A short service time lets the next request wait instead of being refused at once.
         admission.finish(0, now);
-        admission.offer(request(1, "small", priority, now), now);
-        let verdict = admission.offer(request(2, "small", priority, now), now);
-        let Verdict::Wait { until } = verdict else { panic!("{verdict:?}") };
-        assert!(admission.expire(until - Duration::from_millis(1)).is_empty());
-        assert_eq!(admission.expire(until).len(), 1);
-        writeln!(lines, "{priority}: {} ms", (until - now).as_millis()).unwrap();
+        admission.submit(request(1, "small", priority, now), now);
+        let decision = admission.submit(request(2, "small", priority, now), now);
+        let AdmissionDecision::Wait { expires_at } = decision else { panic!("{decision:?}") };
+        assert!(admission.expire(expires_at - Duration::from_millis(1)).is_empty());
+        assert_eq!(admission.expire(expires_at).len(), 1);
+        writeln!(lines, "{priority}: {} ms", (expires_at - now).as_millis()).unwrap();
     }
     insta::assert_snapshot!(lines, @r"
     batch: 5000 ms
@@ -128,11 +128,11 @@
     let start = Instant::now();
     let document = document(10_000, 1_000);
     let mut admission = admission(&document, 1, start);
-    let mut ends: Vec<(Instant, Ticket)> = Vec::new();
+    let mut ends: Vec<(Instant, AdmissionId)> = Vec::new();
     let mut waits: BTreeMap<&str, Vec<Duration>> = BTreeMap::new();
-    let mut offered: BTreeMap<Ticket, (&str, Instant)> = BTreeMap::new();
+    let mut offered: BTreeMap<AdmissionId, (&str, Instant)> = BTreeMap::new();
     let mut refused: BTreeMap<&str, u32> = BTreeMap::new();
-    let mut ticket = 0;
+    let mut id = 0;
     for step_ms in 0..5_000_u64 {
         let now = start + Duration::from_millis(step_ms);
         let mut started = Vec::new();
@@ -140,22 +140,22 @@
             started.extend(admission.finish(ended, now));
         }
         for expired in admission.expire(now) {
-            *refused.entry(offered[&expired.ticket].0).or_default() += 1;
+            *refused.entry(offered[&expired.id].0).or_default() += 1;
         }
         let small = (step_ms % 50 == 0).then_some("small");
         for workspace in std::iter::once("large").chain(small) {
-            ticket += 1;
-            offered.insert(ticket, (workspace, now));
-            match admission.offer(request(ticket, workspace, Priority::Normal, now), now) {
-                Verdict::Start => started.push(ticket),
-                Verdict::Wait { .. } => {}
-                Verdict::Refuse(_) => *refused.entry(workspace).or_default() += 1,
+            id += 1;
+            offered.insert(id, (workspace, now));
+            match admission.submit(request(id, workspace, Priority::Normal, now), now) {
+                AdmissionDecision::Start => started.push(id),
+                AdmissionDecision::Wait { .. } => {}
+                AdmissionDecision::Refuse(_) => *refused.entry(workspace).or_default() += 1,
             }
         }
-        for ticket in started {
-            let (workspace, at) = offered[&ticket];
+        for id in started {
+            let (workspace, at) = offered[&id];
             waits.entry(workspace).or_default().push(now - at);
-            ends.push((now + Duration::from_millis(100), ticket));
+            ends.push((now + Duration::from_millis(100), id));
         }
     }
     let small = waits.get_mut("small").unwrap();
@@ -190,16 +190,16 @@
 /// Everything that a ledger with full knowledge keeps of one run.
 #[derive(Default)]
 struct Ledger {
-    running: BTreeMap<Ticket, String>,
-    waiting: BTreeMap<Ticket, (String, Instant)>,
+    running: BTreeMap<AdmissionId, String>,
+    waiting: BTreeMap<AdmissionId, (String, Instant)>,
 }
 
 impl Ledger {
-    fn start(&mut self, tickets: Vec<Ticket>) -> Result<(), TestCaseError> {
-        for ticket in tickets {
-            let started = self.waiting.remove(&ticket);
-            prop_assert!(started.is_some(), "{} started without waiting", ticket);
-            self.running.insert(ticket, started.unwrap().0);
+    fn start(&mut self, ids: Vec<AdmissionId>) -> Result<(), TestCaseError> {
+        for id in ids {
+            let started = self.waiting.remove(&id);
+            prop_assert!(started.is_some(), "{} started without waiting", id);
+            self.running.insert(id, started.unwrap().0);
         }
         Ok(())
     }
@@ -223,19 +223,19 @@
         let mut admission = admission(&document, 1, now);
         let mut nodes = 1;
         let mut ledger = Ledger::default();
-        for (ticket, step) in (0_u64..).zip(steps) {
+        for (id, step) in (0_u64..).zip(steps) {
             let before = ledger.running.len();
             match step {
                 Step::Offer { workspace, priority } => {
                     let name = ["large", "small", "third"][usize::from(workspace)];
-                    match admission.offer(request(ticket, name, priority, now), now) {
-                        Verdict::Start => {
-                            ledger.running.insert(ticket, name.to_owned());
+                    match admission.submit(request(id, name, priority, now), now) {
+                        AdmissionDecision::Start => {
+                            ledger.running.insert(id, name.to_owned());
                         }
-                        Verdict::Wait { until } => {
-                            ledger.waiting.insert(ticket, (name.to_owned(), until));
+                        AdmissionDecision::Wait { expires_at } => {
+                            ledger.waiting.insert(id, (name.to_owned(), expires_at));
                         }
-                        Verdict::Refuse(refusal) => prop_assert!(refusal.retry_at > now),
+                        AdmissionDecision::Refuse(refusal) => prop_assert!(refusal.retry_at > now),
                     }
                 }
                 Step::Finish { nth } => {
@@ -251,10 +251,10 @@
                 Step::Advance { ms } => {
                     now += Duration::from_millis(ms);
                     for refused in admission.expire(now) {
-                        let (_, until) = ledger.waiting.remove(&refused.ticket).unwrap();
-                        prop_assert!(until <= now);
+                        let (_, expires_at) = ledger.waiting.remove(&refused.id).unwrap();
+                        prop_assert!(expires_at <= now);
                     }
-                    prop_assert!(ledger.waiting.values().all(|(_, until)| *until > now));
+                    prop_assert!(ledger.waiting.values().all(|(_, expires_at)| *expires_at > now));
                 }
                 Step::Nodes { live_nodes } => {
                     nodes = live_nodes;
@@ -264,12 +264,12 @@
             prop_assert_eq!(admission.running(), ledger.running.len());
             prop_assert_eq!(admission.waiting(), ledger.waiting.len());
             if ledger.running.len() > before {
-                let factor = AdmissionConfig::default().running_factor;
+                let factor = AdmissionConfig::default().overcommit_factor;
                 let most = (f64::from(SERVER_RUNNING) * factor / f64::from(nodes)).ceil();
                 prop_assert!(ledger.running.len() as f64 <= most);
             }
             let own = WORKSPACE_RUNNING.div_ceil(nodes) as usize;
-            if let Some(workspace) = ledger.running.get(&ticket) {
+            if let Some(workspace) = ledger.running.get(&id) {
                 prop_assert!(ledger.count(workspace) <= own, "{}", format_smolstr!("{workspace}"));
             }
         }
--- a/tests/traffic/fairness.rs
+++ b/tests/traffic/fairness.rs
@@ -3,7 +3,7 @@
 use super::naive_queue::NaiveQueue;
 use super::proptest_config;
 use coriandertide::decision::admission::FairQueue;
-use coriandertide::decision::admission::fair_queue::Waiting;
+use coriandertide::decision::admission::fair_queue::Waiter;
 use coriandertide::types::Priority;
 use proptest::prelude::*;
 use smol_str::format_smolstr;
@@ -42,18 +42,18 @@
         let start = Instant::now();
         let mut queue = FairQueue::default();
         let mut twin = NaiveQueue::default();
-        for (ticket, step) in (0_u64..).zip(steps) {
+        for (id, step) in (0_u64..).zip(steps) {
             match step {
                 Step::Push { workspace, priority, tokens, wait_ms } => {
-                    let waiting = Waiting {
-                        ticket,
+                    let waiting = Waiter {
+                        id,
                         workspace: format_smolstr!("w{workspace}"),
                         priority,
                         tokens,
-                        until: start + Duration::from_millis(wait_ms),
+                        expires_at: start + Duration::from_millis(wait_ms),
                     };
-                    let ahead = queue.ahead(&waiting.workspace, priority);
-                    prop_assert_eq!(ahead, twin.ahead(&waiting.workspace, priority));
+                    let ahead = queue.requests_ahead(&waiting.workspace, priority);
+                    prop_assert_eq!(ahead, twin.requests_ahead(&waiting.workspace, priority));
                     queue.push(waiting.clone());
                     twin.waiting.push(waiting);
                 }
@@ -68,24 +68,24 @@
                     twin.charge(&workspace, tokens);
                 }
                 Step::Remove { nth } => {
-                    let Some(ticket) = twin.waiting.get(nth).map(|waiting| waiting.ticket) else {
+                    let Some(id) = twin.waiting.get(nth).map(|waiting| waiting.id) else {
                         continue;
                     };
-                    prop_assert!(queue.remove(ticket).is_some());
+                    prop_assert!(queue.remove(id).is_some());
                     twin.waiting.remove(nth);
                 }
                 Step::Expire { at_ms } => {
                     let now = start + Duration::from_millis(at_ms);
                     let mut expired: Vec<u64> =
-                        queue.remove_expired(now).iter().map(|waiting| waiting.ticket).collect();
+                        queue.remove_expired(now).iter().map(|waiting| waiting.id).collect();
                     expired.sort_unstable();
                     let expected: Vec<u64> = twin
                         .waiting
                         .iter()
-                        .filter(|waiting| waiting.until <= now)
-                        .map(|waiting| waiting.ticket)
+                        .filter(|waiting| waiting.expires_at <= now)
+                        .map(|waiting| waiting.id)
                         .collect();
-                    twin.waiting.retain(|waiting| waiting.until > now);
+                    twin.waiting.retain(|waiting| waiting.expires_at > now);
                     prop_assert_eq!(expired, expected);
                 }
             }
--- a/tests/traffic/frames.rs
+++ b/tests/traffic/frames.rs
@@ -1,7 +1,7 @@
 //! Frames that are repeated, lost or early never reach the caller out of order.
 
 use super::proptest_config;
-use coriandertide::decision::frame_order::{FrameOrder, FramePlace, FrameVerdict};
+use coriandertide::decision::frame_order::{FrameAction, FrameOrder, FramePosition};
 use proptest::prelude::*;
 
 const PIECES: u64 = 12;
@@ -30,7 +30,7 @@
 }
 
 impl Attempt {
-    fn frames(&self, resume_from: u64) -> Vec<FramePlace> {
+    fn frames(&self, resume_from: u64) -> Vec<FramePosition> {
         let start = resume_from.saturating_sub(self.starts_early_by);
         let mut numbers: Vec<u64> = (start..=PIECES).collect();
         if let Some(index) = self.swapped.map(|index| index as usize)
@@ -47,8 +47,8 @@
             })
             .take(self.breaks_after as usize)
             .map(|number| match number {
-                PIECES => FramePlace::End(number),
-                _ => FramePlace::Piece(number),
+                PIECES => FramePosition::End(number),
+                _ => FramePosition::Piece(number),
             })
             .collect()
     }
@@ -64,24 +64,24 @@
         let mut order = FrameOrder::default();
         let mut relayed = Vec::new();
         'attempts: for attempt in attempts {
-            for place in attempt.frames(order.next_frame()) {
-                match order.judge(place) {
-                    FrameVerdict::Relay => relayed.push(place),
-                    FrameVerdict::Skip => {}
-                    FrameVerdict::Refuse(_) => continue 'attempts,
+            for position in attempt.frames(order.next_frame()) {
+                match order.accept(position) {
+                    FrameAction::Relay => relayed.push(position),
+                    FrameAction::Skip => {}
+                    FrameAction::Refuse(_) => continue 'attempts,
                 }
-                if relayed.last() == Some(&FramePlace::End(PIECES)) {
+                if relayed.last() == Some(&FramePosition::End(PIECES)) {
                     break 'attempts;
                 }
             }
         }
-        for (number, place) in (0..).zip(&relayed) {
+        for (number, position) in (0..).zip(&relayed) {
             let expected = if number == PIECES {
-                FramePlace::End(number)
+                FramePosition::End(number)
             } else {
-                FramePlace::Piece(number)
+                FramePosition::Piece(number)
             };
-            prop_assert_eq!(*place, expected);
+            prop_assert_eq!(*position, expected);
         }
         prop_assert_eq!(order.next_frame(), relayed.len() as u64);
     }
@@ -91,8 +91,8 @@
 fn an_answer_that_ends_before_what_was_relayed_is_refused() {
     let mut order = FrameOrder::default();
     for number in 0..3 {
-        assert_eq!(order.judge(FramePlace::Piece(number)), FrameVerdict::Relay);
+        assert_eq!(order.accept(FramePosition::Piece(number)), FrameAction::Relay);
     }
-    let FrameVerdict::Refuse(fault) = order.judge(FramePlace::End(1)) else { panic!("taken") };
+    let FrameAction::Refuse(fault) = order.accept(FramePosition::End(1)) else { panic!("taken") };
     insta::assert_snapshot!(fault, @"answer ended with frame 1, before frame 3");
 }
--- a/tests/traffic/naive_queue.rs
+++ b/tests/traffic/naive_queue.rs
@@ -1,19 +1,19 @@
 //! Naive twin of the fair queue: one list, scanned whole at each step.
 
-use coriandertide::decision::admission::fair_queue::Waiting;
+use coriandertide::decision::admission::fair_queue::Waiter;
 use coriandertide::types::{Priority, WorkspaceId};
 use std::collections::BTreeMap;
 
 /// Waiting requests in the order of their arrival, and the work that each workspace was charged.
 #[derive(Default)]
 pub struct NaiveQueue {
-    pub waiting: Vec<Waiting>,
+    pub waiting: Vec<Waiter>,
     finish: BTreeMap<WorkspaceId, u64>,
     virtual_time: u64,
 }
 
 impl NaiveQueue {
-    pub fn pop(&mut self, may_start: impl Fn(&WorkspaceId) -> bool) -> Option<Waiting> {
+    pub fn pop(&mut self, may_start: impl Fn(&WorkspaceId) -> bool) -> Option<Waiter> {
         let candidates = self.waiting.iter().enumerate().filter(|(_, w)| may_start(&w.workspace));
         let next = candidates.min_by_key(|(index, waiting)| {
             (
@@ -35,8 +35,8 @@
         self.finish.insert(workspace.clone(), start + u64::from(tokens.max(1)));
     }
 
-    pub fn ahead(&self, workspace: &WorkspaceId, priority: Priority) -> usize {
-        let count = |matches: &dyn Fn(&Waiting) -> bool| {
+    pub fn requests_ahead(&self, workspace: &WorkspaceId, priority: Priority) -> usize {
+        let count = |matches: &dyn Fn(&Waiter) -> bool| {
             self.waiting.iter().filter(|waiting| matches(waiting)).count()
         };
         let higher = count(&|waiting| waiting.priority > priority);
--- a/tests/traffic/poison.rs
+++ b/tests/traffic/poison.rs
@@ -1,7 +1,7 @@
 //! Strikes: delivered in any order and any number of times, they come to the same.
 
 use super::proptest_config;
-use coriandertide::decision::poison::{MOST_STRIKES, PoisonState, Strike, Suspicion};
+use coriandertide::decision::poison::{PoisonState, REFUSAL_STRIKES, Strike, Suspicion};
 use proptest::prelude::*;
 use smol_str::format_smolstr;
 use std::collections::BTreeSet;
@@ -44,7 +44,7 @@
             let suspicion = state.view().suspicion(fingerprint, now);
             match servers.len() {
                 0 => prop_assert_eq!(suspicion, Suspicion::None),
-                count if count < MOST_STRIKES || (count == MOST_STRIKES && is_shared) => {
+                count if count < REFUSAL_STRIKES || (count == REFUSAL_STRIKES && is_shared) => {
                     prop_assert_eq!(suspicion, Suspicion::Suspect);
                 }
                 _ => prop_assert!(matches!(suspicion, Suspicion::Refused { .. }), "not refused"),
@@ -61,7 +61,7 @@
     let mut state = PoisonState::default();
     state.add(strike("a"), now);
     assert_eq!(state.view().suspicion(7, now), Suspicion::Suspect);
-    state.exonerate(7);
+    state.clear_strikes(7);
     assert_eq!(state.view().suspicion(7, now), Suspicion::None);
     assert!(!state.add(strike("a"), now), "a cleared strike that is told again changes nothing");
     assert_eq!(state.view().suspicion(7, now), Suspicion::None);
--- a/tests/traffic/retry.rs
+++ b/tests/traffic/retry.rs
@@ -17,7 +17,7 @@
     let mut retries = 0;
     for request in 0..10_000_u64 {
         let now = start + Duration::from_millis(request);
-        budget.earn(now);
+        budget.record_first_attempt(now);
         let attempt = failed(Delivery::Unknown, now + Duration::from_secs(60));
         if decide(attempt, &mut budget, now) == RetryDecision::Retry {
             retries += 1;
