--- a/src/control/routing.rs
+++ b/src/control/routing.rs
@@ -52,7 +52,7 @@
         for poll in self.routing_polls.planner.plan(now) {
             match document.servers.get(&poll.server) {
                 Some(server) => self.send_poll(poll, server.address),
-                None => self.routing_polls.planner.remove(&poll.server),
+                None => self.routing_polls.planner.remove_server(&poll.server),
             }
         }
         if self.context.kv_store.is_none() {
--- a/src/decision/frame_order/mod.rs
+++ b/src/decision/frame_order/mod.rs
@@ -36,25 +36,25 @@
         /// Number of the frame.
         number: u64,
         /// Number that is due.
-        expected: u64,
+        due: u64,
     },
     /// The answer ended before what has been relayed already.
     EarlyEnd {
         /// Number of the last frame.
         number: u64,
         /// Number that is due.
-        expected: u64,
+        due: u64,
     },
 }
 
 impl fmt::Display for FrameOrderError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Early { number, expected } => {
-                write!(f, "frame {number} came before frame {expected}")
+            Self::Early { number, due } => {
+                write!(f, "frame {number} came before frame {due}")
             }
-            Self::EarlyEnd { number, expected } => {
-                write!(f, "answer ended with frame {number}, before frame {expected}")
+            Self::EarlyEnd { number, due } => {
+                write!(f, "answer ended with frame {number}, before frame {due}")
             }
         }
     }
@@ -70,18 +70,18 @@
 
     /// Decides on a frame, and counts it if it is relayed.
     pub fn accept(&mut self, position: FramePosition) -> FrameAction {
-        let expected = self.next_frame;
+        let due = self.next_frame;
         match position {
-            FramePosition::Piece(number) | FramePosition::End(number) if number == expected => {
+            FramePosition::Piece(number) | FramePosition::End(number) if number == due => {
                 self.next_frame += 1;
                 FrameAction::Relay
             }
-            FramePosition::Piece(number) if number < expected => FrameAction::Skip,
-            FramePosition::End(number) if number < expected => {
-                FrameAction::Refuse(FrameOrderError::EarlyEnd { number, expected })
+            FramePosition::Piece(number) if number < due => FrameAction::Skip,
+            FramePosition::End(number) if number < due => {
+                FrameAction::Refuse(FrameOrderError::EarlyEnd { number, due })
             }
             FramePosition::Piece(number) | FramePosition::End(number) => {
-                FrameAction::Refuse(FrameOrderError::Early { number, expected })
+                FrameAction::Refuse(FrameOrderError::Early { number, due })
             }
         }
     }
--- a/src/decision/routing/poll.rs
+++ b/src/decision/routing/poll.rs
@@ -141,7 +141,7 @@
     }
 
     /// Forgets a server that left the document.
-    pub fn remove(&mut self, server: &ServerId) {
+    pub fn remove_server(&mut self, server: &ServerId) {
         self.servers.remove(server);
     }
 
