--- a/src/decision/relay/engine_choice.rs
+++ b/src/decision/relay/engine_choice.rs
@@ -5,7 +5,7 @@
 use super::fleet::Fleet;
 use super::prompt::{MIN_STORED_TOKENS, PrefixKey, Prompt};
 use super::server::{Server, ServerLoad, UnreadTokens};
-use crate::decision::routing::homes::rendezvous_rank;
+use crate::decision::routing::homes::rendezvous_hash;
 use crate::types::{ServerId, WeightsRevision};
 use smol_str::{SmolStr, format_smolstr};
 use std::net::SocketAddr;
@@ -87,7 +87,7 @@
         let placement_key = self.placement_key(candidates, prompt, isolated_workspace, now);
         let mut ranked: Vec<&Server> = candidates.to_vec();
         ranked.sort_by_key(|server| {
-            let rank = rendezvous_rank(server.id_hash, placement_key);
+            let rank = rendezvous_hash(server.id_hash, placement_key);
             (pool.contains(&server.entry.id) != prompt.is_decode_heavy(), std::cmp::Reverse(rank))
         });
         let mut costs: Vec<CostedServer<'_>> = Vec::with_capacity(SERVERS_PER_ROUND);
