--- a/examples/capacity_slopes/claims.rs
+++ b/examples/capacity_slopes/claims.rs
@@ -46,13 +46,13 @@
         record_bytes: Slope::fit("claims: bytes of a record, by claims", record_points.into()),
         memory_bytes: Slope::fit("claims: bytes of memory, by keys", memory_points),
         fold_us: Slope::fit("claims: us to encode and fold, by claims", fold_points),
-        memory_ms: ClaimsSettings::default().memory_ms(),
+        memory_ms: ClaimsSettings::default().dedup_window_ms(),
     })
 }
 
 fn claim(number: u64) -> ClaimEntry {
     let spread = u128::from(number).wrapping_mul(0x9e37_79b9_7f4a_7c15_f39c_c060_5ced_c835);
-    let claim = ClaimId { run: 0x0123_4567_89ab_cdef + number % 370, sequence: number };
+    let claim = ClaimId { instance_hash: 0x0123_4567_89ab_cdef + number % 370, sequence: number };
     ClaimEntry::Claim { claim, key: spread, fingerprint: spread as u64 }
 }
 
@@ -68,7 +68,7 @@
         let page = LogPage { first_offset: 1, next_offset: number + 2, records: vec![record] };
         state.apply(ClaimEvent::Page(page), now);
     }
-    let remembered = state.remembered_keys() as u64;
+    let remembered = state.tracked_keys() as u64;
     anyhow::ensure!(remembered == keys, "{remembered} of {keys} keys are remembered");
     Ok(state)
 }
--- a/src/control/claims.rs
+++ b/src/control/claims.rs
@@ -88,11 +88,11 @@
         match message {
             ClaimsMessage::Begin { request, reply } => {
                 let call = WaitingCall { key: request.key, reply };
-                self.claims.calls.insert(request.request.clone(), call);
+                self.claims.calls.insert(request.request_id.clone(), call);
                 self.advance_claims(ClaimEvent::Begin(request), now);
             }
             ClaimsMessage::Ended { claim, key, ending } => {
-                self.advance_claims(ClaimEvent::Ended { claim, key, ending }, now);
+                self.advance_claims(ClaimEvent::RunEnded { claim, key, ending }, now);
             }
             ClaimsMessage::AppendEnded { batch, result } => {
                 if let Err(error) = &result {
@@ -126,8 +126,8 @@
                 ClaimCommand::ReadThrough(offset) => {
                     self.claims.read_through = self.claims.read_through.max(offset);
                 }
-                ClaimCommand::Verdict { request, verdict } => {
-                    self.deliver_verdict(&request, verdict, now);
+                ClaimCommand::Verdict { request_id, verdict } => {
+                    self.deliver_verdict(&request_id, verdict, now);
                 }
             }
         }
@@ -146,7 +146,7 @@
         let sent = call.reply.try_send(verdict).is_ok();
         if let Some(claim) = claim.filter(|_| !sent) {
             let ending = RunEnding::NotRun;
-            self.advance_claims(ClaimEvent::Ended { claim, key: call.key, ending }, now);
+            self.advance_claims(ClaimEvent::RunEnded { claim, key: call.key, ending }, now);
         }
     }
 
@@ -168,7 +168,7 @@
                 self.note_log_read(LogStream::Claims, &page, now);
                 let is_full = page.records.len() >= READ_LIMIT;
                 self.advance_claims(ClaimEvent::Page(page), now);
-                match self.claims.state.waiting_calls() {
+                match self.claims.state.pending_claims() {
                     _ if is_full => Duration::ZERO,
                     0 => IDLE_READ_PERIOD,
                     _ => WAITING_READ_PERIOD,
--- a/src/control/leases.rs
+++ b/src/control/leases.rs
@@ -12,17 +12,17 @@
 impl ControlState {
     /// Folds in records of the stream `leases`.
     pub(super) fn apply_lease_page(&mut self, page: LogPage, now: Instant) {
-        let from = self.leases.next_offset();
-        self.advance_leases(LeaseEvent::Page { page, from }, now);
+        let from_offset = self.leases.next_offset();
+        self.advance_leases(LeaseEvent::Page { page, from_offset }, now);
     }
 
     /// Renews and takes leases; a node without a document has no use for them.
     pub(super) fn tick_leases(&mut self, now: Instant) {
-        let wanted: BTreeSet<LeaseKind> = match &self.document {
+        let desired: BTreeSet<LeaseKind> = match &self.document {
             Some(_) if !self.is_stopping => LeaseKind::iter().collect(),
             _ => BTreeSet::new(),
         };
-        self.advance_leases(LeaseEvent::Want(wanted), now);
+        self.advance_leases(LeaseEvent::Desired(desired), now);
         self.export_leases(now);
     }
 
--- a/src/control/partners.rs
+++ b/src/control/partners.rs
@@ -51,7 +51,7 @@
             }
             PartnerMessage::Strikes(strikes) => self.add_strikes(Some(peer), strikes, now),
             PartnerMessage::Leaving(notices) => {
-                self.advance_leaving(Some(peer), LeavingEvent::Notices(notices), now);
+                self.advance_leaving(Some(peer), LeavingEvent::PartnerNotices(notices), now);
             }
             PartnerMessage::Power(message) => {
                 self.apply_power_message(peer, message, now);
@@ -107,7 +107,7 @@
             .map(|instance| instance.address)
             .collect();
         self.advance_membership(MembershipEvent::Listed(listed), now);
-        self.advance_leaving(None, LeavingEvent::Listed(instances), now);
+        self.advance_leaving(None, LeavingEvent::InstanceList(instances), now);
     }
 
     /// Applies an event about leaving servers and tells routing and partners what changed.
@@ -124,7 +124,7 @@
         let mut notices = Vec::new();
         for change in changes {
             match change {
-                LeavingChange::Leaves { notice, source } => {
+                LeavingChange::Leaving { notice, source } => {
                     log::info!(
                         "event=server_leaving server={} incarnation={} source={source}",
                         notice.server,
@@ -132,18 +132,18 @@
                     );
                     notices.push(notice);
                 }
-                LeavingChange::Back(server) => log::info!("event=server_back server={server}"),
+                LeavingChange::Returned(server) => log::info!("event=server_back server={server}"),
             }
         }
         self.links.queue(source, |outbox| outbox.add_leaving(notices.clone()));
-        self.routing.apply(RoutingEvent::Leaving(self.leaving.servers()), now);
-        self.placement.apply(PlacementEvent::Leaving(self.leaving.servers()), now);
+        self.routing.apply(RoutingEvent::Leaving(self.leaving.leaving_servers()), now);
+        self.placement.apply(PlacementEvent::Leaving(self.leaving.leaving_servers()), now);
     }
 
     /// Keeps leaving servers polled, so that a new incarnation is noticed.
     pub(super) fn tick_leaving(&mut self, now: Instant) {
         self.advance_leaving(None, LeavingEvent::Tick, now);
-        for server in self.leaving.servers() {
+        for server in self.leaving.leaving_servers() {
             self.routing_polls.planner.note_use(&server, now);
         }
     }
--- a/src/control/state.rs
+++ b/src/control/state.rs
@@ -133,7 +133,7 @@
             }
             ControlEvent::Instances(instances) => self.apply_instances(instances, now),
             ControlEvent::Load { server, report, asked_at } => {
-                let event = LeavingEvent::Reported {
+                let event = LeavingEvent::LoadReport {
                     server: server.clone(),
                     incarnation: report.incarnation,
                     leaving: report.leaving,
--- a/src/decision/claims/begin.rs
+++ b/src/decision/claims/begin.rs
@@ -21,7 +21,7 @@
             None => self.begin_new(&request, now),
         };
         if let Some(verdict) = verdict {
-            commands.push(ClaimCommand::Verdict { request: request.request, verdict });
+            commands.push(ClaimCommand::Verdict { request_id: request.request_id, verdict });
         }
     }
 
@@ -68,7 +68,7 @@
         let local = self.local.get_mut(&request.key)?;
         local.phase = Phase::Waiting { reuse_until };
         self.queue.push(local.entry(request.key));
-        self.waiting_calls += 1;
+        self.pending_claims += 1;
         self.add_caller(request, now);
         None
     }
@@ -78,18 +78,18 @@
         if let Some(owner) = self.fold.owner(request.key) {
             return Some(owned_verdict(owner, request.fingerprint));
         }
-        if self.is_too_old(request.key_time) {
+        if self.is_too_old(request.key_created_at) {
             return Some(ClaimVerdict::OutcomeUnknown(UnknownReason::KeyTooOld));
         }
         if let Some(refusal) = self.claim_refusal(now) {
             return Some(refusal);
         }
-        let claim = ClaimId { run: self.run, sequence: self.next_sequence };
+        let claim = ClaimId { instance_hash: self.instance_hash, sequence: self.next_sequence };
         self.next_sequence += 1;
         let local = LocalClaim::new(claim, request, now + self.settings.claim_reuse());
         self.queue.push(local.entry(request.key));
         self.local.insert(request.key, local);
-        self.waiting_calls += 1;
+        self.pending_claims += 1;
         self.add_caller(request, now);
         None
     }
@@ -102,7 +102,7 @@
         if let Some(down_until) = self.queue.down_until().filter(|until| now < *until) {
             return Some(not_run(NotRunReason::LogDown, Some(down_until)));
         }
-        if self.waiting_calls >= self.settings.waiting_calls {
+        if self.pending_claims >= self.settings.max_pending_claims {
             return Some(not_run(NotRunReason::Overloaded, self.retry_at(now)));
         }
         None
@@ -115,7 +115,7 @@
         } else {
             request.deadline
         };
-        local.callers.push(Caller { request: request.request.clone(), deadline });
+        local.callers.push(Caller { request_id: request.request_id.clone(), deadline });
         self.deadlines.insert(KeyDeadline { at: deadline, key: request.key });
     }
 }
--- a/src/decision/claims/fold.rs
+++ b/src/decision/claims/fold.rs
@@ -59,7 +59,7 @@
 /// Fold of the stream, bounded by the memory of claims.
 #[derive(Debug)]
 pub struct ClaimFold {
-    memory_ms: u64,
+    dedup_window_ms: u64,
     next_offset: Option<LogOffset>,
     /// When the fold last held every record that the log kept.
     caught_up_at: Option<Instant>,
@@ -72,10 +72,10 @@
 }
 
 impl ClaimFold {
-    /// Returns an empty fold that remembers claims for `memory_ms` of the log's clock.
-    pub fn new(memory_ms: u64) -> Self {
+    /// Returns an empty fold that remembers claims for `dedup_window_ms` of the log's clock.
+    pub fn new(dedup_window_ms: u64) -> Self {
         Self {
-            memory_ms,
+            dedup_window_ms,
             next_offset: None,
             caught_up_at: None,
             latest_ms: 0,
@@ -144,7 +144,7 @@
     /// Goes on at `first_offset` after records expired unread. A log that drops records before
     /// their time may have hidden claims that still count.
     fn skip_lost(&mut self, first_offset: LogOffset, now: Instant) {
-        let memory = Duration::from_millis(self.memory_ms);
+        let memory = Duration::from_millis(self.dedup_window_ms);
         if self.caught_up_at.is_some_and(|caught_up_at| now < caught_up_at + memory) {
             self.hidden_until = Some(now + memory);
         }
@@ -165,7 +165,7 @@
                 }
             }
             DecodedRecord::Newer => {
-                self.hidden_until = Some(now + Duration::from_millis(self.memory_ms));
+                self.hidden_until = Some(now + Duration::from_millis(self.dedup_window_ms));
             }
             DecodedRecord::Foreign => {}
         }
@@ -215,7 +215,7 @@
 
     /// Time before which claims are forgotten.
     fn oldest_ms(&self) -> u64 {
-        self.latest_ms.saturating_sub(self.memory_ms)
+        self.latest_ms.saturating_sub(self.dedup_window_ms)
     }
 
     /// Forgets keys whose last claim is older than the memory.
--- a/src/decision/claims/key_time.rs
+++ b/src/decision/claims/key_created_at.rs
@@ -11,7 +11,7 @@
 
 /// Returns the creation time of a key that is a UUID of version 7 (RFC 9562); other keys carry
 /// none.
-pub fn key_time(key: &str) -> Option<SystemTime> {
+pub fn key_created_at(key: &str) -> Option<SystemTime> {
     if key.len() != UUID_CHARS || !key.is_ascii() || key.as_bytes()[UUID_VERSION_CHAR] != b'7' {
         return None;
     }
--- a/src/decision/claims/local.rs
+++ b/src/decision/claims/local.rs
@@ -11,7 +11,7 @@
 pub(super) struct LocalClaim {
     pub claim: ClaimId,
     pub fingerprint: Fingerprint,
-    pub key_time: Option<SystemTime>,
+    pub key_created_at: Option<SystemTime>,
     pub phase: Phase,
     /// Sendings of the call that wait for a verdict.
     pub callers: Vec<Caller>,
@@ -35,7 +35,7 @@
 /// Sending of a call.
 #[derive(Debug)]
 pub(super) struct Caller {
-    pub request: RequestId,
+    pub request_id: RequestId,
     pub deadline: Instant,
 }
 
@@ -52,7 +52,7 @@
         Self {
             claim,
             fingerprint: request.fingerprint,
-            key_time: request.key_time,
+            key_created_at: request.key_created_at,
             phase: Phase::Waiting { reuse_until },
             callers: Vec::new(),
         }
@@ -91,6 +91,6 @@
 ) {
     for caller in callers {
         let verdict = verdict.clone();
-        commands.push(ClaimCommand::Verdict { request: caller.request, verdict });
+        commands.push(ClaimCommand::Verdict { request_id: caller.request_id, verdict });
     }
 }
--- a/src/decision/claims/messages.rs
+++ b/src/decision/claims/messages.rs
@@ -11,13 +11,13 @@
 #[derive(Clone, Debug)]
 pub struct ClaimRequest {
     /// Request.
-    pub request: RequestId,
+    pub request_id: RequestId,
     /// Key.
     pub key: KeyHash,
     /// Fingerprint of the call.
     pub fingerprint: Fingerprint,
     /// Creation time that the key carries.
-    pub key_time: Option<SystemTime>,
+    pub key_created_at: Option<SystemTime>,
     /// When the caller's wait ends.
     pub deadline: Instant,
 }
@@ -37,7 +37,7 @@
     /// A page of the stream was read.
     Page(LogPage),
     /// A call that was told to run ended.
-    Ended {
+    RunEnded {
         /// Claim of the call.
         claim: ClaimId,
         /// Key of the call.
@@ -77,7 +77,7 @@
     /// Tell a request its verdict. Each request gets exactly one.
     Verdict {
         /// Request.
-        request: RequestId,
+        request_id: RequestId,
         /// Verdict.
         verdict: ClaimVerdict,
     },
@@ -86,12 +86,12 @@
 /// Verdict on a call.
 #[derive(Clone, Debug)]
 pub enum ClaimVerdict {
-    /// Send the call once, unless `start_by` has passed, and report how it ended.
+    /// Send the call once, unless `start_deadline` has passed, and report how it ended.
     Run {
         /// Claim that owns the key.
         claim: ClaimId,
         /// When the call must have been started; past it the call ends as not run.
-        start_by: Instant,
+        start_deadline: Instant,
     },
     /// The call ran for an earlier sending; this is its answer.
     Answer(Arc<ServiceResponse>),
--- a/src/decision/claims/mod.rs
+++ b/src/decision/claims/mod.rs
@@ -7,14 +7,14 @@
 mod begin;
 pub mod fold;
 pub mod kept_answers;
-pub mod key_time;
+pub mod key_created_at;
 mod local;
 pub mod messages;
 mod progress;
 pub mod record;
 pub mod settings;
 
-pub use key_time::key_time;
+pub use key_created_at::key_created_at;
 pub use messages::*;
 pub use record::{ClaimEntry, ClaimId, Fingerprint, KeyHash, encode_record, hash_key};
 pub use settings::ClaimsSettings;
@@ -34,9 +34,9 @@
 #[derive(Debug)]
 pub struct ClaimsState {
     settings: ClaimsSettings,
-    run: u64,
+    instance_hash: u64,
     next_sequence: u64,
-    waiting_calls: usize,
+    pending_claims: usize,
     fold: ClaimFold,
     queue: AppendQueue,
     kept: KeptAnswers,
@@ -49,12 +49,12 @@
     pub fn new(instance: &InstanceId, settings: ClaimsSettings) -> Self {
         Self {
             settings,
-            run: xxhash_rust::xxh3::xxh3_64(instance.as_bytes()),
+            instance_hash: xxhash_rust::xxh3::xxh3_64(instance.as_bytes()),
             next_sequence: 1,
-            waiting_calls: 0,
-            fold: ClaimFold::new(settings.memory_ms()),
+            pending_claims: 0,
+            fold: ClaimFold::new(settings.dedup_window_ms()),
             queue: AppendQueue::new(settings.appends_per_s),
-            kept: KeptAnswers::new(settings.kept_answers_bytes),
+            kept: KeptAnswers::new(settings.max_kept_answers_bytes),
             local: HashMap::new(),
             deadlines: BTreeSet::new(),
         }
@@ -70,7 +70,7 @@
                 self.end_append(batch, offset, now, &mut commands);
             }
             ClaimEvent::Page(page) => self.fold_page(&page, now, &mut commands),
-            ClaimEvent::Ended { claim, key, ending } => {
+            ClaimEvent::RunEnded { claim, key, ending } => {
                 self.end_run(claim, key, ending, now, &mut commands);
             }
             ClaimEvent::LiveNodes(nodes) => {
@@ -88,13 +88,13 @@
     }
 
     /// Number of keys remembered from the log.
-    pub fn remembered_keys(&self) -> usize {
+    pub fn tracked_keys(&self) -> usize {
         self.fold.len()
     }
 
     /// Number of calls that wait for a claim.
-    pub fn waiting_calls(&self) -> usize {
-        self.waiting_calls
+    pub fn pending_claims(&self) -> usize {
+        self.pending_claims
     }
 
     /// When a refused caller may send again.
--- a/src/decision/claims/progress.rs
+++ b/src/decision/claims/progress.rs
@@ -38,13 +38,17 @@
     ) {
         for entry in self.fold.apply(page, now) {
             match entry {
-                FoldedEntry::Owns { claim, key } if claim.run == self.run => {
+                FoldedEntry::Owns { claim, key } if claim.instance_hash == self.instance_hash => {
                     self.own(claim, key, now, commands);
                 }
-                FoldedEntry::Lost { claim, key, owner } if claim.run == self.run => {
+                FoldedEntry::Lost { claim, key, owner }
+                    if claim.instance_hash == self.instance_hash =>
+                {
                     self.lose(claim, key, owner, commands);
                 }
-                FoldedEntry::Released { claim, key } if claim.run == self.run => {
+                FoldedEntry::Released { claim, key }
+                    if claim.instance_hash == self.instance_hash =>
+                {
                     self.take_local(claim, key);
                 }
                 FoldedEntry::Owns { .. }
@@ -62,14 +66,14 @@
         now: Instant,
         commands: &mut Vec<ClaimCommand>,
     ) {
-        let forget_at = now + Duration::from_millis(self.settings.memory_ms());
+        let forget_at = now + Duration::from_millis(self.settings.dedup_window_ms());
         let is_own = |local: &&mut LocalClaim| local.claim == claim;
         let Some(local) = self.local.get_mut(&key).filter(is_own) else {
             self.queue.push(ClaimEntry::Release { claim, key });
             return;
         };
         self.deadlines.insert(KeyDeadline { at: forget_at, key });
-        self.waiting_calls -= usize::from(local.is_waiting());
+        self.pending_claims -= usize::from(local.is_waiting());
         let refusal = self.own_refusal(key, now);
         let timeout = not_run(NotRunReason::ClaimTimeout, self.retry_at(now));
         let Some(local) = self.local.get_mut(&key) else { return };
@@ -82,21 +86,21 @@
         }
         let runner = local.callers.remove(0);
         local.phase = Phase::Running { forget_at };
-        let verdict = ClaimVerdict::Run { claim, start_by: runner.deadline };
-        commands.push(ClaimCommand::Verdict { request: runner.request, verdict });
+        let verdict = ClaimVerdict::Run { claim, start_deadline: runner.deadline };
+        commands.push(ClaimCommand::Verdict { request_id: runner.request_id, verdict });
     }
 
     /// Why the claim of `key`, which owns it, must not run, if so.
     fn own_refusal(&self, key: KeyHash, now: Instant) -> Option<ClaimVerdict> {
-        let key_time = self.local.get(&key).and_then(|local| local.key_time);
+        let key_created_at = self.local.get(&key).and_then(|local| local.key_created_at);
         if self.fold.is_blind(now) {
             return Some(not_run(NotRunReason::ClaimsHidden, self.retry_at(now)));
         }
-        if self.is_too_old(key_time) {
+        if self.is_too_old(key_created_at) {
             return Some(ClaimVerdict::OutcomeUnknown(UnknownReason::KeyTooOld));
         }
         let latest = self.fold.latest() + Duration::from_millis(self.settings.clock_skew_ms);
-        let in_future = key_time.is_some_and(|key_time| key_time > latest);
+        let in_future = key_created_at.is_some_and(|key_created_at| key_created_at > latest);
         in_future.then(|| not_run(NotRunReason::KeyFromFuture, None))
     }
 
@@ -108,7 +112,7 @@
         commands: &mut Vec<ClaimCommand>,
     ) {
         let Some(local) = self.take_local(claim, key) else { return };
-        self.waiting_calls -= usize::from(local.is_waiting());
+        self.pending_claims -= usize::from(local.is_waiting());
         answer_all(local.callers, &owned_verdict(owner, local.fingerprint), commands);
     }
 
@@ -151,7 +155,7 @@
                 ClaimVerdict::Answer(answer)
             }
             RunEnding::NotRun => {
-                let forget_at = now + Duration::from_millis(self.settings.memory_ms());
+                let forget_at = now + Duration::from_millis(self.settings.dedup_window_ms());
                 local.phase = Phase::Releasing { forget_at };
                 self.deadlines.insert(KeyDeadline { at: forget_at, key });
                 self.queue.push(ClaimEntry::Release { claim, key });
@@ -180,7 +184,7 @@
                 answer_all(expired, &not_run(NotRunReason::ClaimTimeout, retry_at), commands);
                 if local.callers.is_empty() {
                     local.phase = Phase::GivenUp { reuse_until };
-                    self.waiting_calls -= 1;
+                    self.pending_claims -= 1;
                     self.deadlines.insert(KeyDeadline { at: reuse_until.max(now), key });
                     self.drop_unwanted_entries();
                 }
@@ -206,8 +210,9 @@
         answer_all(local.callers, &verdict, commands);
     }
 
-    pub(super) fn is_too_old(&self, key_time: Option<SystemTime>) -> bool {
-        let age = key_time.and_then(|key_time| self.fold.latest().duration_since(key_time).ok());
+    pub(super) fn is_too_old(&self, key_created_at: Option<SystemTime>) -> bool {
+        let age = key_created_at
+            .and_then(|key_created_at| self.fold.latest().duration_since(key_created_at).ok());
         age.is_some_and(|age| age > Duration::from_millis(self.settings.key_age_ms))
     }
 }
--- a/src/decision/claims/record.rs
+++ b/src/decision/claims/record.rs
@@ -26,7 +26,7 @@
 pub struct ClaimId {
     /// Hash of the instance id of the node's run.
     #[serde(rename = "r")]
-    pub run: u64,
+    pub instance_hash: u64,
     /// Number of the claim within the run.
     #[serde(rename = "s")]
     pub sequence: u64,
@@ -34,7 +34,7 @@
 
 impl fmt::Display for ClaimId {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{:016x}-{}", self.run, self.sequence)
+        write!(f, "{:016x}-{}", self.instance_hash, self.sequence)
     }
 }
 
--- a/src/decision/claims/settings.rs
+++ b/src/decision/claims/settings.rs
@@ -24,9 +24,9 @@
     /// Milliseconds for which an answer is kept for callers that send again.
     pub kept_answer_ms: u64,
     /// Bytes of all kept answers together.
-    pub kept_answers_bytes: usize,
+    pub max_kept_answers_bytes: usize,
     /// Calls that may wait for a claim at once.
-    pub waiting_calls: usize,
+    pub max_pending_claims: usize,
 }
 
 impl Default for ClaimsSettings {
@@ -39,22 +39,22 @@
             claim_reuse_ms: 20_000,
             appends_per_s: 200,
             kept_answer_ms: 60_000,
-            kept_answers_bytes: 4 << 20,
-            waiting_calls: 1_024,
+            max_kept_answers_bytes: 4 << 20,
+            max_pending_claims: 1_024,
         }
     }
 }
 
 impl ClaimsSettings {
     /// Milliseconds of the log's clock for which claims are remembered.
-    pub fn memory_ms(&self) -> u64 {
+    pub fn dedup_window_ms(&self) -> u64 {
         self.key_age_ms + 2 * self.clock_skew_ms
     }
 
     /// Reports the settings that do not fit each other.
     pub fn check(&self, path: &str, faults: &mut Faults) {
         faults.require(
-            self.log_retention_ms >= self.memory_ms() + RETENTION_MARGIN_MS,
+            self.log_retention_ms >= self.dedup_window_ms() + RETENTION_MARGIN_MS,
             format!("{path}.log_retention_ms"),
             "must be above key_age_ms + 2 * clock_skew_ms by a minute",
         );
--- a/src/decision/leases/messages.rs
+++ b/src/decision/leases/messages.rs
@@ -70,10 +70,10 @@
         /// Page.
         page: LogPage,
         /// Offset that was asked for.
-        from: LogOffset,
+        from_offset: LogOffset,
     },
     /// The leases that this node should try to hold.
-    Want(BTreeSet<LeaseKind>),
+    Desired(BTreeSet<LeaseKind>),
     /// Time passed.
     Tick,
     /// The node stops gracefully; held leases are released.
--- a/src/decision/leases/mod.rs
+++ b/src/decision/leases/mod.rs
@@ -6,17 +6,17 @@
 //! it reads its own record back; everybody else counts from when they read the record, plus a
 //! drift margin.
 
+pub mod deadlines;
 pub mod messages;
 pub mod settings;
 pub mod stream;
 pub mod table;
-pub mod tenure;
 
+pub use deadlines::{drift_margin, reader_deadline};
 pub use messages::{LeaseAction, LeaseCommand, LeaseEvent, LeaseKind, LeaseRecord};
 pub use settings::LeaseSettings;
 pub use stream::StreamRecord;
 pub use table::LeaseStreamRecord;
-pub use tenure::{drift_margin, reader_deadline};
 
 use crate::types::{InstanceId, LogOffset};
 use std::collections::{BTreeMap, BTreeSet};
@@ -31,7 +31,7 @@
     /// From when the lease may no longer be used.
     pub deadline: Instant,
     /// From when orders to servers that ignore fencing numbers may be given.
-    pub unfenced_orders_from: Instant,
+    pub unfenced_orders_allowed_at: Instant,
 }
 
 /// Append that has not been read back yet.
@@ -50,7 +50,7 @@
     table: LeaseTable,
     held: BTreeMap<LeaseKind, HeldLease>,
     pending: BTreeMap<LeaseKind, PendingAppend>,
-    wanted: BTreeSet<LeaseKind>,
+    desired: BTreeSet<LeaseKind>,
     last_attempt: u64,
 }
 
@@ -63,7 +63,7 @@
             settings,
             held: BTreeMap::new(),
             pending: BTreeMap::new(),
-            wanted: BTreeSet::new(),
+            desired: BTreeSet::new(),
             last_attempt: 0,
         }
     }
@@ -71,9 +71,9 @@
     /// Applies `event` and returns what to do.
     pub fn apply(&mut self, event: LeaseEvent, now: Instant) -> Vec<LeaseCommand> {
         match event {
-            LeaseEvent::Page { page, from } => self.read_page(&page, from, now),
-            LeaseEvent::Want(kinds) => {
-                self.wanted = kinds;
+            LeaseEvent::Page { page, from_offset } => self.read_page(&page, from_offset, now),
+            LeaseEvent::Desired(kinds) => {
+                self.desired = kinds;
                 self.tick(now)
             }
             LeaseEvent::Tick => self.tick(now),
@@ -105,11 +105,11 @@
     fn read_page(
         &mut self,
         page: &crate::ports::LogPage,
-        from: LogOffset,
+        from_offset: LogOffset,
         now: Instant,
     ) -> Vec<LeaseCommand> {
         let mut commands = Vec::new();
-        for record in self.table.fold_page(page, from, now) {
+        for record in self.table.fold_page(page, from_offset, now) {
             if record.holder == self.instance {
                 self.confirm(&record, &mut commands);
             } else if self.held.remove(&record.kind).is_some() {
@@ -133,14 +133,14 @@
         let deadline = pending.first_sent_at + Duration::from_millis(lease_ms);
         let renewed =
             self.held.get(&record.kind).filter(|held| held.fencing_number == fencing_number);
-        let unfenced_orders_from = match renewed {
-            Some(held) => held.unfenced_orders_from,
+        let unfenced_orders_allowed_at = match renewed {
+            Some(held) => held.unfenced_orders_allowed_at,
             None => pending.first_sent_at + Duration::from_millis(self.settings.order_transit_ms),
         };
         if renewed.is_none() {
             commands.push(LeaseCommand::Acquired { kind: record.kind, fencing_number });
         }
-        let held = HeldLease { fencing_number, deadline, unfenced_orders_from };
+        let held = HeldLease { fencing_number, deadline, unfenced_orders_allowed_at };
         self.held.insert(record.kind, held);
     }
 
@@ -148,7 +148,7 @@
         let mut commands = Vec::new();
         self.drop_lapsed(now, &mut commands);
         commands.extend(self.table.upkeep(now).map(LeaseCommand::Append));
-        for kind in self.wanted.clone() {
+        for kind in self.desired.clone() {
             if let Some(record) = self.next_append(kind, now) {
                 commands.push(LeaseCommand::Append(StreamRecord::Change(record)));
             }
@@ -207,7 +207,7 @@
     }
 
     fn stop(&mut self, now: Instant) -> Vec<LeaseCommand> {
-        self.wanted.clear();
+        self.desired.clear();
         let kinds: Vec<LeaseKind> = self.held.keys().copied().collect();
         self.held.clear();
         kinds
--- a/src/decision/leases/stream.rs
+++ b/src/decision/leases/stream.rs
@@ -5,7 +5,7 @@
 //! an offset from which everything is still visible. If no reader is left that could write one,
 //! the stream is silent; once all that it held must have lapsed, it is reset.
 
-use super::tenure::reader_deadline;
+use super::deadlines::reader_deadline;
 use crate::ports::{LogPage, LogRecord};
 use crate::types::{InstanceId, LogOffset};
 use serde::de::DeserializeOwned;
@@ -38,9 +38,9 @@
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum FoldStep<R, E> {
     /// Replace the state.
-    Install(Vec<E>),
+    Replace(Vec<E>),
     /// Apply a change.
-    Apply {
+    Change {
         /// Offset of the change.
         offset: LogOffset,
         /// Change.
@@ -92,7 +92,7 @@
     }
 
     /// Takes in that records may hold for `lapse_ms`.
-    pub fn allow_lapse(&mut self, lapse_ms: u64) {
+    pub fn raise_max_validity(&mut self, lapse_ms: u64) {
         self.lapse_ms = self.lapse_ms.max(lapse_ms);
     }
 
@@ -120,13 +120,13 @@
     }
 
     /// Reads a page that was asked for from offset `from`; returns the steps to fold.
-    pub fn read<E: DeserializeOwned>(
+    pub fn read_page<E: DeserializeOwned>(
         &mut self,
         page: &LogPage,
-        from: LogOffset,
+        from_offset: LogOffset,
         now: Instant,
     ) -> Vec<FoldStep<R, E>> {
-        if from > self.next_offset {
+        if from_offset > self.next_offset {
             return Vec::new();
         }
         self.has_read = true;
@@ -157,7 +157,7 @@
         }
         match serde_json::from_slice(&log_record.payload) {
             Ok(StreamRecord::Change(record)) => match &mut self.base {
-                Base::Known => steps.push(FoldStep::Apply { offset: log_record.offset, record }),
+                Base::Known => steps.push(FoldStep::Change { offset: log_record.offset, record }),
                 Base::Awaited { changes, .. } => changes.push((log_record.offset, record)),
             },
             Ok(StreamRecord::Checkpoint { as_of, entries }) => {
@@ -166,7 +166,7 @@
             }
             Ok(StreamRecord::Reset) => {
                 self.base = Base::Known;
-                steps.push(FoldStep::Install(Vec::new()));
+                steps.push(FoldStep::Replace(Vec::new()));
             }
             Err(error) => {
                 log::warn!(
@@ -182,9 +182,9 @@
         if as_of + 1 < *start {
             return;
         }
-        steps.push(FoldStep::Install(entries));
+        steps.push(FoldStep::Replace(entries));
         let later = std::mem::take(changes).into_iter().filter(|(offset, _)| *offset > as_of);
-        steps.extend(later.map(|(offset, record)| FoldStep::Apply { offset, record }));
+        steps.extend(later.map(|(offset, record)| FoldStep::Change { offset, record }));
         self.base = Base::Known;
     }
 
--- a/src/decision/leases/table.rs
+++ b/src/decision/leases/table.rs
@@ -1,8 +1,8 @@
 //! Fold of the stream `leases`: the same holder for every reader.
 
+use super::deadlines::reader_deadline;
 use super::messages::{LeaseAction, LeaseKind, LeaseRecord};
 use super::stream::{FoldStep, StreamReader, StreamRecord};
-use super::tenure::reader_deadline;
 use crate::ports::LogPage;
 use crate::types::{InstanceId, LogOffset};
 use serde::{Deserialize, Serialize};
@@ -81,12 +81,17 @@
     }
 
     /// Folds a page that was asked for from offset `from`; returns the records that count.
-    pub fn fold_page(&mut self, page: &LogPage, from: LogOffset, now: Instant) -> Vec<LeaseRecord> {
+    pub fn fold_page(
+        &mut self,
+        page: &LogPage,
+        from_offset: LogOffset,
+        now: Instant,
+    ) -> Vec<LeaseRecord> {
         let mut counting = Vec::new();
-        for step in self.reader.read(page, from, now) {
+        for step in self.reader.read_page(page, from_offset, now) {
             match step {
-                FoldStep::Install(entries) => self.install(entries, now),
-                FoldStep::Apply { offset, record } => {
+                FoldStep::Replace(entries) => self.install(entries, now),
+                FoldStep::Change { offset, record } => {
                     if self.apply(&record, offset, now) {
                         counting.push(record);
                     }
--- a/src/decision/leaving/mod.rs
+++ b/src/decision/leaving/mod.rs
@@ -39,9 +39,9 @@
 #[derive(Clone, Debug)]
 pub enum LeavingEvent {
     /// The instance list was read.
-    Listed(Vec<InstanceRecord>),
+    InstanceList(Vec<InstanceRecord>),
     /// A server reported its load.
-    Reported {
+    LoadReport {
         /// Server.
         server: ServerId,
         /// Incarnation of the server.
@@ -50,7 +50,7 @@
         leaving: bool,
     },
     /// A partner sent notices.
-    Notices(Vec<LeavingNotice>),
+    PartnerNotices(Vec<LeavingNotice>),
     /// Time passed.
     Tick,
 }
@@ -59,14 +59,14 @@
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum LeavingChange {
     /// The server leaves.
-    Leaves {
+    Leaving {
         /// Notice for partners.
         notice: LeavingNotice,
         /// First source.
         source: LeavingSource,
     },
     /// The server is back.
-    Back(ServerId),
+    Returned(ServerId),
 }
 
 /// What is known about one server.
@@ -90,11 +90,11 @@
     /// Applies `event` and returns the changes.
     pub fn apply(&mut self, event: LeavingEvent, now: Instant) -> Vec<LeavingChange> {
         match event {
-            LeavingEvent::Listed(instances) => self.apply_list(&instances, now),
-            LeavingEvent::Reported { server, incarnation, leaving } => {
+            LeavingEvent::InstanceList(instances) => self.apply_list(&instances, now),
+            LeavingEvent::LoadReport { server, incarnation, leaving } => {
                 self.apply_report(server, incarnation, leaving, now).into_iter().collect()
             }
-            LeavingEvent::Notices(notices) => notices
+            LeavingEvent::PartnerNotices(notices) => notices
                 .into_iter()
                 .filter_map(|notice| self.add(notice, LeavingSource::Partner, now))
                 .collect(),
@@ -103,7 +103,7 @@
     }
 
     /// Servers that must get no new work.
-    pub fn servers(&self) -> BTreeSet<ServerId> {
+    pub fn leaving_servers(&self) -> BTreeSet<ServerId> {
         let leaving = self.servers.iter().filter(|(_, server)| server.is_leaving());
         leaving.map(|(name, _)| name.clone()).collect()
     }
@@ -154,7 +154,7 @@
             return None;
         }
         server.leaving.clear();
-        Some(LeavingChange::Back(name.clone()))
+        Some(LeavingChange::Returned(name.clone()))
     }
 
     fn apply_report(
@@ -175,7 +175,7 @@
         if restarted {
             server.leaving.retain(|leaving| *leaving == incarnation);
         }
-        (was_leaving && !server.is_leaving()).then_some(LeavingChange::Back(name))
+        (was_leaving && !server.is_leaving()).then_some(LeavingChange::Returned(name))
     }
 
     fn add(
@@ -189,7 +189,7 @@
         let was_leaving = server.is_leaving();
         let is_new = server.leaving.insert(notice.incarnation);
         (is_new && !was_leaving && server.is_leaving())
-            .then_some(LeavingChange::Leaves { notice, source })
+            .then_some(LeavingChange::Leaving { notice, source })
     }
 
     fn forget(&mut self, now: Instant) -> Vec<LeavingChange> {
@@ -202,7 +202,7 @@
             .collect();
         let removed = old.into_iter().filter_map(|name| self.servers.remove_entry(&name));
         let back = removed.filter(|(_, server)| server.is_leaving());
-        back.map(|(name, _)| LeavingChange::Back(name)).collect()
+        back.map(|(name, _)| LeavingChange::Returned(name)).collect()
     }
 }
 
--- a/src/decision/placement/mod.rs
+++ b/src/decision/placement/mod.rs
@@ -175,8 +175,8 @@
     ) -> ServerView {
         let Some(known) = self.servers.get(name) else { return out_of_service() };
         let Some(report) = &known.report else { return out_of_service() };
-        let may_order_unfenced =
-            now >= held.unfenced_orders_from && report.asked_at >= held.unfenced_orders_from;
+        let may_order_unfenced = now >= held.unfenced_orders_allowed_at
+            && report.asked_at >= held.unfenced_orders_allowed_at;
         let may_order = !known.is_loading() && (server.checks_fencing || may_order_unfenced);
         let models = known.order.as_ref().map_or(&report.models, |order| &order.models);
         ServerView {
--- a/src/decision/power/ended.rs
+++ b/src/decision/power/ended.rs
@@ -7,7 +7,7 @@
 
 use super::ledger::ShareEntry;
 use super::settings::PowerSettings;
-use crate::decision::leases::tenure::drift_margin;
+use crate::decision::leases::deadlines::drift_margin;
 use crate::document::Document;
 use crate::types::{InstanceId, ServerId};
 use std::collections::BTreeMap;
--- a/src/decision/power/ledger.rs
+++ b/src/decision/power/ledger.rs
@@ -1,8 +1,8 @@
 //! Fold of the stream `power`: the same shares for every reader, never more than the whole.
 
 use super::messages::{ShareAction, ShareRecord, TOTAL_PARTS};
+use crate::decision::leases::deadlines::reader_deadline;
 use crate::decision::leases::stream::{FoldStep, StreamReader, StreamRecord};
-use crate::decision::leases::tenure::reader_deadline;
 use crate::ports::LogPage;
 use crate::types::{InstanceId, LogOffset};
 use serde::{Deserialize, Serialize};
@@ -66,7 +66,7 @@
 
     /// Takes in that shares may last `lease_ms`.
     pub fn allow_lease(&mut self, lease_ms: u64) {
-        self.reader.allow_lapse(lease_ms + self.transit_ms);
+        self.reader.raise_max_validity(lease_ms + self.transit_ms);
     }
 
     /// Returns the offset to read from.
@@ -108,10 +108,10 @@
     /// Folds a page that was asked for from offset `from`; returns the records read.
     pub fn fold_page(&mut self, page: &LogPage, from: LogOffset, now: Instant) -> Vec<ReadShare> {
         let mut read = Vec::new();
-        for step in self.reader.read(page, from, now) {
+        for step in self.reader.read_page(page, from, now) {
             match step {
-                FoldStep::Install(entries) => self.install(entries, now),
-                FoldStep::Apply { offset, record } => {
+                FoldStep::Replace(entries) => self.install(entries, now),
+                FoldStep::Change { offset, record } => {
                     let counts = self.apply(&record, offset, now);
                     read.push(ReadShare { record, counts });
                 }
--- a/src/decision/power/transfers.rs
+++ b/src/decision/power/transfers.rs
@@ -7,7 +7,7 @@
 use super::account::{PowerAccount, PowerLack, PowerSource, SourceId};
 use super::messages::{PowerCommand, PowerMessage, TOTAL_PARTS};
 use super::settings::PowerSettings;
-use crate::decision::leases::tenure::drift_margin;
+use crate::decision::leases::deadlines::drift_margin;
 use crate::types::InstanceId;
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
--- a/src/traffic/handlers/claimed_call.rs
+++ b/src/traffic/handlers/claimed_call.rs
@@ -4,7 +4,7 @@
 use crate::control::ClaimsMessage;
 use crate::decision::claims::{
     ClaimId, ClaimRequest, ClaimVerdict, Fingerprint, KeyHash, NotRunReason, RunEnding,
-    UnknownReason, hash_key, key_time,
+    UnknownReason, hash_key, key_created_at,
 };
 use crate::document::ServiceServer;
 use crate::ports::{ServiceCall, ServiceResponse};
@@ -43,15 +43,15 @@
     };
     let hash = hash_key(scope.workspace, &ServiceId::from(scope.service), &key);
     let request = ClaimRequest {
-        request: scope.request.clone(),
+        request_id: scope.request.clone(),
         key: hash,
         fingerprint: fingerprint(call),
-        key_time: key_time(&key),
+        key_created_at: key_created_at(&key),
         deadline,
     };
     let mut ticket = ClaimTicket::begin(context, request)?;
     match ticket.verdict().await {
-        Some(ClaimVerdict::Run { start_by, .. }) if Instant::now() < start_by => {
+        Some(ClaimVerdict::Run { start_deadline, .. }) if Instant::now() < start_deadline => {
             ticket.ending = RunEnding::OutcomeUnknown;
             let result = call_once(context, servers, call, deadline).await;
             ticket.ending = run_ending(&result);
--- a/tests/power/leases.rs
+++ b/tests/power/leases.rs
@@ -109,10 +109,11 @@
             if self.now_ms < self.nodes[index].paused_until_ms {
                 continue;
             }
-            let from = self.nodes[index].state.next_offset();
-            if let Some(page) = self.log.read(from, self.now_ms).filter(|_| self.random.u8(..) > 40)
+            let from_offset = self.nodes[index].state.next_offset();
+            if let Some(page) =
+                self.log.read(from_offset, self.now_ms).filter(|_| self.random.u8(..) > 40)
             {
-                self.apply(index, LeaseEvent::Page { page, from });
+                self.apply(index, LeaseEvent::Page { page, from_offset });
             }
             self.apply(index, LeaseEvent::Tick);
             self.give_orders(index);
@@ -144,7 +145,7 @@
         let Some(held) = node.state.held(KIND, now) else { return };
         let transit_ms = LeaseSettings::default().order_transit_ms * 9 / 10;
         for (checks_fencing, longest_ms) in [(true, 60_000), (false, transit_ms)] {
-            if !checks_fencing && now < held.unfenced_orders_from {
+            if !checks_fencing && now < held.unfenced_orders_allowed_at {
                 continue;
             }
             let due_ms = self.now_ms + self.random.u64(0..longest_ms);
@@ -189,8 +190,8 @@
 
 fn new_state(index: usize, restarts: u64, settings: LeaseSettings) -> LeaseState {
     let mut state = LeaseState::new(format!("node-{index}-{restarts}").into(), settings);
-    let wanted = BTreeSet::from([KIND]);
-    assert_eq!(state.apply(LeaseEvent::Want(wanted), Instant::now()), Vec::new());
+    let desired = BTreeSet::from([KIND]);
+    assert_eq!(state.apply(LeaseEvent::Desired(desired), Instant::now()), Vec::new());
     state
 }
 
--- a/tests/power/placement.rs
+++ b/tests/power/placement.rs
@@ -115,7 +115,7 @@
         let held = HeldLease {
             fencing_number: 1,
             deadline: self.now() + Duration::from_secs(10),
-            unfenced_orders_from: self.epoch,
+            unfenced_orders_allowed_at: self.epoch,
         };
         for command in self.state.apply(PlacementEvent::Tick(Some(held)), self.now()) {
             self.execute(command);
--- a/tests/together/claims_cases.rs
+++ b/tests/together/claims_cases.rs
@@ -2,7 +2,7 @@
 
 use crate::claims_world::{AppendFate, CallFate, SETTINGS, World};
 use bytes::Bytes;
-use coriandertide::decision::claims::{ClaimsSettings, encode_record, hash_key, key_time};
+use coriandertide::decision::claims::{ClaimsSettings, encode_record, hash_key, key_created_at};
 use coriandertide::types::Faults;
 use std::time::UNIX_EPOCH;
 
@@ -101,12 +101,13 @@
 }
 
 #[test]
-fn key_times_and_hashes() {
+fn creation_times_and_hashes_of_keys() {
     let uuid = "017f22e2-79b0-7cc3-98c4-dc0c0c07398f";
-    let unix_ms = key_time(uuid).map(|time| time.duration_since(UNIX_EPOCH).unwrap().as_millis());
+    let unix_ms =
+        key_created_at(uuid).map(|time| time.duration_since(UNIX_EPOCH).unwrap().as_millis());
     assert_eq!(unix_ms, Some(1_645_557_742_000));
-    assert_eq!(key_time("017f22e2-79b0-4cc3-98c4-dc0c0c07398f"), None);
-    assert_eq!(key_time("tally-17"), None);
+    assert_eq!(key_created_at("017f22e2-79b0-4cc3-98c4-dc0c0c07398f"), None);
+    assert_eq!(key_created_at("tally-17"), None);
     let hash =
         |workspace: &str, key: &str| hash_key(&workspace.into(), &"tally".into(), &key.into());
     assert_eq!(hash("survey", "1"), hash("survey", "1"));
@@ -160,7 +161,7 @@
     world.begin(0, 1, 1);
     world.settle();
     insta::assert_snapshot!(endings(&world), @"request-2: not run");
-    world.advance(SETTINGS.memory_ms());
+    world.advance(SETTINGS.dedup_window_ms());
     world.append_raw(Bytes::from_static(b"foreign"));
     world.begin(0, 1, 1);
     world.settle();
--- a/tests/together/claims_world.rs
+++ b/tests/together/claims_world.rs
@@ -20,8 +20,8 @@
     claim_reuse_ms: 3_000,
     appends_per_s: 50,
     kept_answer_ms: 5_000,
-    kept_answers_bytes: 4_096,
-    waiting_calls: 64,
+    max_kept_answers_bytes: 4_096,
+    max_pending_claims: 64,
 };
 /// Log clock at the start of a test.
 const START_UNIX_MS: u64 = 1_800_000_000_000;
@@ -55,7 +55,7 @@
     claim: ClaimId,
     key: KeyHash,
     request: RequestId,
-    start_by: Instant,
+    start_deadline: Instant,
 }
 
 #[derive(Default)]
@@ -119,13 +119,13 @@
     pub fn begin(&mut self, node: usize, key: u8, fingerprint: u64) -> RequestId {
         self.next_id += 1;
         let request = format_smolstr!("request-{}", self.next_id);
-        let key_time = (key >= FIRST_TIMED_KEY)
+        let key_created_at = (key >= FIRST_TIMED_KEY)
             .then(|| self.log_time(u64::from(key - FIRST_TIMED_KEY) * 10_000));
         let event = ClaimEvent::Begin(ClaimRequest {
-            request: request.clone(),
+            request_id: request.clone(),
             key: key.into(),
             fingerprint,
-            key_time,
+            key_created_at,
             deadline: self.now() + Duration::from_secs(8),
         });
         self.ledger.open.insert(request.clone(), (self.nodes[node].name.clone(), key.into()));
@@ -141,16 +141,18 @@
                     self.nodes[node].appends.push((batch, encode_record(&entries)));
                 }
                 ClaimCommand::ReadThrough(_) => {}
-                ClaimCommand::Verdict { request, verdict } => self.judge(node, request, verdict),
+                ClaimCommand::Verdict { request_id, verdict } => {
+                    self.judge(node, request_id, verdict);
+                }
             }
         }
     }
 
     fn judge(&mut self, node: usize, request: RequestId, verdict: ClaimVerdict) {
         match verdict {
-            ClaimVerdict::Run { claim, start_by } => {
+            ClaimVerdict::Run { claim, start_deadline } => {
                 let key = self.ledger.open[&request].1;
-                self.nodes[node].runs.push(Run { claim, key, request, start_by });
+                self.nodes[node].runs.push(Run { claim, key, request, start_deadline });
             }
             ClaimVerdict::Answer(_) => self.ledger.end(request, "answer"),
             ClaimVerdict::NotRun { .. } => self.ledger.end(request, "not run"),
@@ -163,8 +165,8 @@
         if self.nodes[node].runs.is_empty() {
             return;
         }
-        let Run { claim, key, request, start_by } = self.nodes[node].runs.remove(0);
-        let starts = self.now() < start_by && !matches!(fate, CallFate::NotSent);
+        let Run { claim, key, request, start_deadline } = self.nodes[node].runs.remove(0);
+        let starts = self.now() < start_deadline && !matches!(fate, CallFate::NotSent);
         let (ending, word) = match fate {
             _ if !starts => (RunEnding::NotRun, "not run"),
             CallFate::Answer => (RunEnding::Answer(Arc::new(response())), "answer"),
@@ -174,7 +176,7 @@
             self.ledger.start(key, &request, self.now_ms);
         }
         self.ledger.end(request, word);
-        self.apply(node, ClaimEvent::Ended { claim, key, ending });
+        self.apply(node, ClaimEvent::RunEnded { claim, key, ending });
     }
 
     pub fn append(&mut self, node: usize, fate: AppendFate) {
--- a/tests/together/leaving.rs
+++ b/tests/together/leaving.rs
@@ -18,7 +18,7 @@
     fn apply(&mut self, name: &str, event: LeavingEvent) {
         self.now += Duration::from_secs(1);
         self.state.apply(event, self.now);
-        self.lines.push(format!("{name}: {:?}", self.state.servers()));
+        self.lines.push(format!("{name}: {:?}", self.state.leaving_servers()));
     }
 
     fn list(&mut self, state: InstanceState) {
@@ -29,17 +29,17 @@
             availability_zone: "couva".into(),
             state,
         };
-        self.apply(&format!("list {state:?}"), LeavingEvent::Listed(vec![record]));
+        self.apply(&format!("list {state:?}"), LeavingEvent::InstanceList(vec![record]));
     }
 
     fn report(&mut self, incarnation: u64, leaving: bool) {
-        let event = LeavingEvent::Reported { server: "engine".into(), incarnation, leaving };
+        let event = LeavingEvent::LoadReport { server: "engine".into(), incarnation, leaving };
         self.apply(&format!("report {incarnation} leaving={leaving}"), event);
     }
 
     fn notice(&mut self, incarnation: u64) {
         let notice = LeavingNotice { server: "engine".into(), incarnation };
-        self.apply(&format!("notice {incarnation}"), LeavingEvent::Notices(vec![notice]));
+        self.apply(&format!("notice {incarnation}"), LeavingEvent::PartnerNotices(vec![notice]));
     }
 
     fn snapshot(&self) -> String {
