--- a/examples/capacity_slopes/configuration.rs
+++ b/examples/capacity_slopes/configuration.rs
@@ -64,14 +64,14 @@
         (0..workspaces).map(|number| (format!("workspace-{number:03}"), workspace(100))).collect();
     let raw: RawDocument = serde_json::from_value(json!({ "workspaces": named }))?;
     let mut follower = ConfigurationFollower::default();
-    follower.apply(page(1, &ConfigurationRecord::snapshot(raw)));
+    follower.apply(page(1, &ConfigurationRecord::initial(raw)));
     Ok(follower)
 }
 
 fn page(offset: u64, record: &ConfigurationRecord) -> ConfigurationEvent {
     let record = LogRecord { offset, appended_at: SystemTime::now(), payload: record.encode() };
     let page = LogPage { first_offset: 1, next_offset: offset + 1, records: vec![record] };
-    ConfigurationEvent::Page(page)
+    ConfigurationEvent::LogRead(page)
 }
 
 fn edit(number: u64, base_revision: u64) -> ConfigurationRecord {
@@ -95,7 +95,7 @@
         follower.apply(page(base_revision + 1, &edit(number, base_revision)));
     }
     let spent_us = started_at.elapsed().as_secs_f64() * 1e6;
-    let revision = follower.in_force().offset;
+    let revision = follower.document_in_force().offset;
     anyhow::ensure!(revision == EDITS + 1, "revision {revision} is in force after {EDITS} edits");
     Ok(spent_us / EDITS as f64)
 }
--- a/examples/capacity_slopes/membership.rs
+++ b/examples/capacity_slopes/membership.rs
@@ -2,7 +2,7 @@
 
 use crate::fit::{Point, Slope};
 use crate::usage::mean_us;
-use coriandertide::decision::configuration::Announcement;
+use coriandertide::decision::configuration::ConfigurationAnnouncement;
 use coriandertide::decision::membership::{
     MemberRecord, MemberStatus, MembershipEvent, MembershipSettings, MembershipState,
 };
@@ -30,7 +30,10 @@
 
 /// Measures membership.
 pub fn measure() -> MembershipCosts {
-    let ping = PartnerMessage::Ping { digest: u64::MAX, configuration: Announcement::default() };
+    let ping = PartnerMessage::Ping {
+        digest: u64::MAX,
+        configuration: ConfigurationAnnouncement::default(),
+    };
     let set = |members: u64| PartnerMessage::Members((0..members).map(member).collect());
     let tick_points = SIZES.map(|size| Point { size: size as f64, cost: tick_us(size) });
     let set_points =
@@ -68,7 +71,7 @@
         now += Duration::from_millis(100);
         state.apply(MembershipEvent::Tick, now);
         for number in 1..=links {
-            state.apply(MembershipEvent::Heard(member(number).instance), now);
+            state.apply(MembershipEvent::MessageReceived(member(number).instance), now);
         }
     })
 }
--- a/examples/capacity_slopes/nodes.rs
+++ b/examples/capacity_slopes/nodes.rs
@@ -70,7 +70,7 @@
     let list = InstanceListStandIn::start(InstanceListConfig::default())?;
     let engines = (0..ENGINES).map(start_engine).collect::<anyhow::Result<Vec<_>>>()?;
     let raw: RawDocument = serde_json::from_value(document(&engines))?;
-    log.append("configuration", ConfigurationRecord::snapshot(raw).encode());
+    log.append("configuration", ConfigurationRecord::initial(raw).encode());
     let used_before = used_bytes();
     let nodes = (0..size)
         .map(|number| start_node(number, &log, &list))
--- a/examples/configuration_in_force.rs
+++ b/examples/configuration_in_force.rs
@@ -136,7 +136,7 @@
     let list = InstanceListStandIn::start(InstanceListConfig::default())?;
     let proxy = CountingProxy::start(log.address())?;
     let mut revision =
-        log.append("configuration", ConfigurationRecord::snapshot(document()?).encode());
+        log.append("configuration", ConfigurationRecord::initial(document()?).encode());
     let nodes: Vec<Node> = (0..count)
         .map(|_| start_node(proxy.address, &list, log_period_ms))
         .collect::<anyhow::Result<_>>()?;
@@ -165,7 +165,7 @@
 
 /// Fills the log with a day of edits and a snapshot before them, as a restarting node meets it.
 fn fill_log(log: &LogServiceStandIn) -> anyhow::Result<u64> {
-    let first = ConfigurationRecord::snapshot(document()?).encode();
+    let first = ConfigurationRecord::initial(document()?).encode();
     let mut revision = log.append("configuration", first.clone());
     let mut follower = ConfigurationFollower::default();
     let record = coriandertide::ports::LogRecord {
@@ -175,8 +175,8 @@
     };
     let page =
         coriandertide::ports::LogPage { first_offset: 1, next_offset: 2, records: vec![record] };
-    follower.apply(coriandertide::decision::configuration::ConfigurationEvent::Page(page));
-    let copy = follower.copy().ok_or_else(|| anyhow::anyhow!("no state"))?;
+    follower.apply(coriandertide::decision::configuration::ConfigurationEvent::LogRead(page));
+    let copy = follower.partner_copy().ok_or_else(|| anyhow::anyhow!("no state"))?;
     let snapshot = ConfigurationRecord::Snapshot(Snapshot { state: copy.state.as_ref().clone() });
     let payload = snapshot.encode();
     println!("snapshot_bytes={}", payload.len());
--- a/examples/local_site/site.rs
+++ b/examples/local_site/site.rs
@@ -99,7 +99,7 @@
         };
         site.register_servers();
         let document = document::first(&site, options.nodes)?;
-        site.log.append(CONFIGURATION_STREAM, ConfigurationRecord::snapshot(document).encode());
+        site.log.append(CONFIGURATION_STREAM, ConfigurationRecord::initial(document).encode());
         if policy != PolicyChoice::Omniscient {
             for _ in 0..options.nodes {
                 site.start_node()?;
--- a/src/admin/edit.rs
+++ b/src/admin/edit.rs
@@ -91,7 +91,7 @@
     caller: &AdminCaller,
     request: &EditRequest,
 ) -> Result<Option<Revision>, AdminError> {
-    let Some(entry) = state.edit(&request.edit_id) else {
+    let Some(entry) = state.find_edit(&request.edit_id) else {
         return Ok(None);
     };
     if entry.author != caller.name {
--- a/src/admin/read.rs
+++ b/src/admin/read.rs
@@ -50,7 +50,7 @@
 
 /// Returns the edit with this id.
 pub fn find_edit(view: &AdminView, edit_id: &str) -> Result<Arc<EditEntry>, AdminError> {
-    state(view)?.edit(edit_id).cloned().ok_or_else(|| {
+    state(view)?.find_edit(edit_id).cloned().ok_or_else(|| {
         AdminError::new(AdminCode::NotFound, format!("no edit `{edit_id}` is remembered"))
     })
 }
--- a/src/admin/restore.rs
+++ b/src/admin/restore.rs
@@ -4,7 +4,7 @@
 use super::messages::{EditReply, RestoreRequest};
 use super::server::AdminContext;
 use super::view::AdminView;
-use crate::decision::configuration::{ConfigurationRecord, check_value};
+use crate::decision::configuration::{ConfigurationRecord, validate_json};
 use crate::ports::LogStream;
 use crate::types::{Delivery, EditId, LogOffset};
 use smol::Timer;
@@ -25,11 +25,11 @@
     request: RestoreRequest,
 ) -> Result<EditReply, AdminError> {
     let expired_to = find_expired(&context.view())?;
-    let checked = check_value(request.document, expired_to).map_err(|faults| {
+    let checked = validate_json(request.document, expired_to).map_err(|faults| {
         let details = ErrorDetails { faults, ..ErrorDetails::default() };
         AdminError::with_details(AdminCode::InvalidDocument, "the document has faults", details)
     })?;
-    let payload = ConfigurationRecord::restoring(&checked.raw, expired_to).encode();
+    let payload = ConfigurationRecord::restored_snapshot(&checked.raw, expired_to).encode();
     log::warn!("event=configuration_restore expired_to={expired_to}");
     context.log.append(LogStream::Configuration, payload).await.map_err(|error| {
         let code = match error.delivery {
--- a/src/admin/view.rs
+++ b/src/admin/view.rs
@@ -2,7 +2,8 @@
 
 use super::messages::{LeaseReply, NodeReply, PowerReply};
 use crate::decision::configuration::{
-    Announcement, BadRecord, ConfigurationFollower, ConfigurationState, NewerRecord,
+    ConfigurationAnnouncement, ConfigurationFollower, ConfigurationState, MalformedRecord,
+    NewerRecord,
 };
 use crate::types::{Faults, LogOffset};
 use std::collections::BTreeMap;
@@ -41,7 +42,7 @@
     /// State, none while no base has been found.
     pub state: Option<Arc<ConfigurationState>>,
     /// Offsets that partners are told.
-    pub announcement: Announcement,
+    pub announcement: ConfigurationAnnouncement,
     /// Faults for which the accepted document is not in force.
     pub held_back: Option<Faults>,
     /// Last offset of a stream whose first records expired without a base in the rest.
@@ -49,7 +50,7 @@
     /// Record that needs a later build.
     pub newer_record: Option<NewerRecord>,
     /// Latest malformed records.
-    pub bad_records: Vec<BadRecord>,
+    pub bad_records: Vec<MalformedRecord>,
 }
 
 impl From<&ConfigurationFollower> for ConfigurationView {
@@ -60,7 +61,7 @@
             held_back: follower.held_back().cloned(),
             expired_to: follower.expired_to(),
             newer_record: follower.newer_record(),
-            bad_records: follower.bad_records().cloned().collect(),
+            bad_records: follower.malformed_records().cloned().collect(),
         }
     }
 }
--- a/src/cli/diff.rs
+++ b/src/cli/diff.rs
@@ -2,7 +2,7 @@
 
 use crate::admin::messages::DocumentReply;
 use crate::decision::configuration::SectionChange;
-use crate::decision::configuration::sections::split_value;
+use crate::decision::configuration::sections::split_json;
 use crate::types::{Revision, SectionPath};
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
@@ -53,7 +53,7 @@
     /// Returns the changes that lead from the accepted document to the file; sections that only
     /// the accepted document has are removed if `prune`.
     pub fn changes(&self, accepted: &DocumentReply, prune: bool) -> Vec<SectionChange> {
-        let wanted = split_value(&self.document);
+        let wanted = split_json(&self.document);
         let mut changes = Vec::new();
         for (section, value) in &wanted {
             let current = accepted.sections.get(section);
--- a/src/control/configuration.rs
+++ b/src/control/configuration.rs
@@ -11,7 +11,7 @@
 impl ControlState {
     /// Folds in the records of `page` and puts the resulting document in force if it changed.
     pub(super) fn apply_configuration(&mut self, page: LogPage, now: Instant) {
-        self.apply_configuration_event(ConfigurationEvent::Page(page), now);
+        self.apply_configuration_event(ConfigurationEvent::LogRead(page), now);
     }
 
     /// Applies an event to the follower and carries out its commands.
@@ -51,7 +51,7 @@
                 );
                 self.announce_configuration();
             }
-            ConfigurationCommand::ReportBadRecord(bad) => {
+            ConfigurationCommand::ReportMalformedRecord(bad) => {
                 self.context.metrics.configuration_bad_records.inc();
                 log::error!(
                     "event=bad_configuration_record offset={} fault={}",
--- a/src/control/configuration_read.rs
+++ b/src/control/configuration_read.rs
@@ -2,7 +2,7 @@
 //! reads.
 
 use super::{ControlContext, ControlEvent, ControlState};
-use crate::decision::configuration::Announcement;
+use crate::decision::configuration::ConfigurationAnnouncement;
 use crate::links::PartnerMessage;
 use crate::ports::LogStream;
 use crate::types::{InstanceId, LogOffset};
@@ -31,12 +31,12 @@
             return;
         }
         self.configuration_read = ConfigurationRead::Running;
-        let task = read_once(self.context.clone(), self.configuration.next_read());
+        let task = read_once(self.context.clone(), self.configuration.next_read_offset());
         self.context.spawn(task);
     }
 
     /// Reads the stream now if a partner is ahead; a node without a base is reading it already.
-    pub(super) fn read_if_ahead(&mut self, announced: Announcement) {
+    pub(super) fn read_if_ahead(&mut self, announced: ConfigurationAnnouncement) {
         let is_ahead = announced.offset > self.configuration.announcement().offset;
         if is_ahead && self.configuration.state().is_some() {
             self.read_configuration();
--- a/src/control/links.rs
+++ b/src/control/links.rs
@@ -164,7 +164,7 @@
             dialed: opened.dialed,
             outgoing: opened.outgoing.clone(),
         };
-        let is_added = self.links.add(&self.membership.me().instance, peer, link);
+        let is_added = self.links.add(&self.membership.local_record().instance, peer, link);
         if is_added {
             self.outboxes.insert(peer.clone(), Outbox::default());
         }
@@ -222,7 +222,7 @@
     fn receive(&mut self, link: u64, received: ReceivedMessage, now: Instant) {
         self.links.metrics.link_received_bytes.inc_by(received.bytes as u64);
         let Some(peer) = self.links.links.peer(link).cloned() else { return };
-        self.advance_membership(MembershipEvent::Heard(peer.clone()), now);
+        self.advance_membership(MembershipEvent::MessageReceived(peer.clone()), now);
         self.advance_power(PowerEvent::Heard(peer.clone()), now);
         if let Some(message) = received.message {
             self.apply_partner_message(&peer, message, now);
@@ -231,7 +231,7 @@
 
     fn end_link(&mut self, link: u64, end: &LinkEnd, now: Instant) {
         let Some(peer) = self.links.links.peer(link).cloned() else { return };
-        let in_order = match end {
+        let graceful = match end {
             LinkEnd::InOrder => true,
             LinkEnd::Broken(error) => {
                 log::warn!("event=link_broken peer={peer} error=\"{error:#}\"");
@@ -239,7 +239,7 @@
             }
         };
         self.links.remove(&peer);
-        self.advance_membership(MembershipEvent::LinkClosed { peer, in_order }, now);
+        self.advance_membership(MembershipEvent::LinkClosed { peer, graceful }, now);
     }
 
     /// Applies an event to the membership and carries out its commands.
@@ -263,7 +263,7 @@
                 }
             }
         }
-        self.links.identity.borrow_mut().me = self.links.membership.me().clone();
+        self.links.identity.borrow_mut().me = self.links.membership.local_record().clone();
         self.note_live_nodes(now);
     }
 
--- a/src/control/partners.rs
+++ b/src/control/partners.rs
@@ -2,7 +2,7 @@
 //! node that cannot read the log.
 
 use super::ControlState;
-use crate::decision::configuration::{Announcement, ConfigurationEvent};
+use crate::decision::configuration::{ConfigurationAnnouncement, ConfigurationEvent};
 use crate::decision::leaving::{LeavingChange, LeavingEvent};
 use crate::decision::membership::MembershipEvent;
 use crate::decision::placement::PlacementEvent;
@@ -24,7 +24,7 @@
     /// Whether the last read of the configuration stream failed.
     pub(super) log_failed: bool,
     /// What partners last said of their configuration.
-    pub(super) announcements: BTreeMap<InstanceId, Announcement>,
+    pub(super) announcements: BTreeMap<InstanceId, ConfigurationAnnouncement>,
     /// When the configuration may be asked for again.
     next_request_at: Option<Instant>,
 }
@@ -59,7 +59,7 @@
             PartnerMessage::ConfigurationRequest { above } => self.send_configuration(peer, above),
             PartnerMessage::Configuration(copy) => {
                 log::info!("event=configuration_from_partner peer={peer}");
-                self.apply_configuration_event(ConfigurationEvent::Copy(*copy), now);
+                self.apply_configuration_event(ConfigurationEvent::PartnerCopy(*copy), now);
             }
             PartnerMessage::Topics(_)
             | PartnerMessage::RecordsRequest(_)
@@ -106,7 +106,7 @@
             .filter(|instance| instance.state == InstanceState::Live)
             .map(|instance| instance.address)
             .collect();
-        self.advance_membership(MembershipEvent::Listed(listed), now);
+        self.advance_membership(MembershipEvent::SeedAddresses(listed), now);
         self.advance_leaving(None, LeavingEvent::Listed(instances), now);
     }
 
@@ -167,7 +167,7 @@
     /// Returns the rank of this node among the live ones; nodes that know of no other differ by
     /// their names alone.
     fn find_rank(&self, live_nodes: u32) -> u32 {
-        let own = &self.links.membership.me().instance;
+        let own = &self.links.membership.local_record().instance;
         if live_nodes <= 1 {
             return (xxh3_64(own.as_bytes()) >> 32) as u32;
         }
@@ -177,7 +177,12 @@
     }
 
     /// Asks a partner for its configuration if it is ahead and the log does not help.
-    fn request_configuration(&mut self, peer: &InstanceId, announced: Announcement, now: Instant) {
+    fn request_configuration(
+        &mut self,
+        peer: &InstanceId,
+        announced: ConfigurationAnnouncement,
+        now: Instant,
+    ) {
         let above = self.configuration.announcement().offset;
         let log_helps = !self.partners.log_failed && self.configuration.state().is_some();
         let is_early = self.partners.next_request_at.is_some_and(|at| now < at);
@@ -189,7 +194,7 @@
     }
 
     fn send_configuration(&mut self, peer: &InstanceId, above: u64) {
-        let Some(copy) = self.configuration.copy() else { return };
+        let Some(copy) = self.configuration.partner_copy() else { return };
         if copy.state.applied > above {
             self.links.send(peer, &PartnerMessage::Configuration(Box::new(copy)));
         }
--- a/src/control/republish.rs
+++ b/src/control/republish.rs
@@ -11,7 +11,7 @@
         if self.held_lease(LeaseKind::ConfigurationSnapshot).is_none() {
             return;
         }
-        let due = self.snapshots.take_due(&self.configuration, now, SystemTime::now());
+        let due = self.snapshots.take_due_snapshot(&self.configuration, now, SystemTime::now());
         let Some(payload) = due else { return };
         let log = self.context.log.clone();
         let bytes = payload.len();
--- a/src/decision/configuration/follower.rs
+++ b/src/decision/configuration/follower.rs
@@ -2,7 +2,7 @@
 //! last document that this build could check in force.
 
 use super::in_force::DocumentInForce;
-use super::record::{ConfigurationRecord, RecordFault};
+use super::record::{ConfigurationRecord, RecordError};
 use super::state::{ConfigurationState, RecordEffect};
 use crate::document::{Document, RawDocument};
 use crate::ports::{LogPage, LogRecord};
@@ -33,7 +33,7 @@
 
 /// What a node tells its partners about its configuration.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq, Serialize, Deserialize)]
-pub struct Announcement {
+pub struct ConfigurationAnnouncement {
     /// Offset of the last record folded in.
     pub offset: LogOffset,
     /// Revision of the document in force.
@@ -44,14 +44,14 @@
 #[derive(Clone, Debug)]
 pub enum ConfigurationEvent {
     /// The log was read.
-    Page(LogPage),
+    LogRead(LogPage),
     /// A partner sent its state.
-    Copy(ConfigurationCopy),
+    PartnerCopy(ConfigurationCopy),
 }
 
 /// Record that changed nothing because it is malformed.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct BadRecord {
+pub struct MalformedRecord {
     /// Offset.
     pub offset: LogOffset,
     /// What is wrong with it.
@@ -64,9 +64,9 @@
     /// Put this document in force.
     PutInForce(Arc<Document>),
     /// Tell the partners.
-    Announce(Announcement),
+    Announce(ConfigurationAnnouncement),
     /// Report a malformed record.
-    ReportBadRecord(BadRecord),
+    ReportMalformedRecord(MalformedRecord),
     /// Report that a snapshot at this offset differs from the state folded here.
     ReportSnapshotDiffers(LogOffset),
     /// Report that the accepted document cannot be checked; the last good one stays.
@@ -93,7 +93,7 @@
     partner_good: Option<Arc<ConfigurationState>>,
     in_force: DocumentInForce,
     newer_record: Option<NewerRecord>,
-    bad_records: VecDeque<BadRecord>,
+    bad_records: VecDeque<MalformedRecord>,
     snapshot_at: Option<SystemTime>,
     stream_end: Option<LogOffset>,
 }
@@ -104,8 +104,8 @@
         let before = self.state.as_ref().map(|_| self.announcement());
         let mut commands = Vec::new();
         match event {
-            ConfigurationEvent::Page(page) => self.read_page(page, &mut commands),
-            ConfigurationEvent::Copy(copy) => self.adopt_copy(copy),
+            ConfigurationEvent::LogRead(page) => self.read_page(page, &mut commands),
+            ConfigurationEvent::PartnerCopy(copy) => self.adopt_copy(copy),
         }
         self.fold_buffered(&mut commands);
         self.check(&mut commands);
@@ -122,12 +122,12 @@
     }
 
     /// Returns the document in force.
-    pub fn in_force(&self) -> &Arc<Document> {
+    pub fn document_in_force(&self) -> &Arc<Document> {
         &self.in_force.document
     }
 
     /// Returns the raw form of the document in force.
-    pub fn raw(&self) -> &Arc<RawDocument> {
+    pub fn raw_in_force(&self) -> &Arc<RawDocument> {
         &self.in_force.raw
     }
 
@@ -148,28 +148,31 @@
     }
 
     /// Returns when the last record that a new node can start from was appended, by the log's clock.
-    pub fn snapshot_at(&self) -> Option<SystemTime> {
+    pub fn base_appended_at(&self) -> Option<SystemTime> {
         self.snapshot_at
     }
 
     /// Returns the latest malformed records.
-    pub fn bad_records(&self) -> impl Iterator<Item = &BadRecord> {
+    pub fn malformed_records(&self) -> impl Iterator<Item = &MalformedRecord> {
         self.bad_records.iter()
     }
 
     /// Returns what partners should know.
-    pub fn announcement(&self) -> Announcement {
-        Announcement { offset: self.applied(), in_force: self.in_force.document.offset }
+    pub fn announcement(&self) -> ConfigurationAnnouncement {
+        ConfigurationAnnouncement {
+            offset: self.applied(),
+            in_force: self.in_force.document.offset,
+        }
     }
 
     /// Returns the offset from which to read the log next.
-    pub fn next_read(&self) -> LogOffset {
+    pub fn next_read_offset(&self) -> LogOffset {
         let last_buffered = self.buffered.keys().next_back().copied().unwrap_or(0);
         last_buffered.max(self.applied()) + 1
     }
 
     /// Returns a copy for partners, or none while no base has been found.
-    pub fn copy(&self) -> Option<ConfigurationCopy> {
+    pub fn partner_copy(&self) -> Option<ConfigurationCopy> {
         let state = Arc::clone(self.state.as_ref()?);
         let last_good = self.held_back().and(self.in_force.state.clone());
         Some(ConfigurationCopy { format: super::RECORD_FORMAT, state, last_good })
@@ -261,13 +264,13 @@
                         self.snapshot_at = Some(record.appended_at);
                     }
                 }
-                Err(RecordFault::Malformed(reason)) => {
+                Err(RecordError::Malformed(reason)) => {
                     state.skip(record.offset);
-                    let bad = BadRecord { offset: record.offset, reason };
+                    let bad = MalformedRecord { offset: record.offset, reason };
                     remember(&mut self.bad_records, bad.clone());
-                    commands.push(ConfigurationCommand::ReportBadRecord(bad));
+                    commands.push(ConfigurationCommand::ReportMalformedRecord(bad));
                 }
-                Err(RecordFault::NewerFormat(format)) => {
+                Err(RecordError::NewerFormat(format)) => {
                     let newer = NewerRecord { offset: record.offset, format };
                     if self.newer_record.replace(newer) != Some(newer) {
                         commands
@@ -336,7 +339,7 @@
     }
 }
 
-fn remember(bad_records: &mut VecDeque<BadRecord>, bad: BadRecord) {
+fn remember(bad_records: &mut VecDeque<MalformedRecord>, bad: MalformedRecord) {
     bad_records.push_back(bad);
     if bad_records.len() > SHOWN_BAD_RECORDS {
         bad_records.pop_front();
--- a/src/decision/configuration/in_force.rs
+++ b/src/decision/configuration/in_force.rs
@@ -1,8 +1,8 @@
 //! Document in force: the latest accepted document that this build could check.
 
-use super::check_state;
 use super::follower::ConfigurationCommand;
 use super::state::ConfigurationState;
+use super::validate_state;
 use crate::document::{Document, RawDocument};
 use crate::types::{Faults, Revision};
 use std::sync::Arc;
@@ -55,7 +55,7 @@
         state: &Arc<ConfigurationState>,
         commands: &mut Vec<ConfigurationCommand>,
     ) -> Result<(), Faults> {
-        let checked = check_state(state)?;
+        let checked = validate_state(state)?;
         self.document = Arc::new(checked.document);
         self.raw = Arc::new(checked.raw);
         self.state = Some(Arc::clone(state));
--- a/src/decision/configuration/mod.rs
+++ b/src/decision/configuration/mod.rs
@@ -2,7 +2,7 @@
 //!
 //! The fold compares revisions and nothing else, so nodes of different builds agree on it. Whether
 //! the result is a document that this build understands is decided afterwards, by
-//! [`check_state`].
+//! [`validate_state`].
 
 pub mod follower;
 pub mod in_force;
@@ -13,13 +13,13 @@
 pub mod state;
 
 pub use follower::{
-    Announcement, BadRecord, ConfigurationCommand, ConfigurationCopy, ConfigurationEvent,
-    ConfigurationFollower, NewerRecord,
+    ConfigurationAnnouncement, ConfigurationCommand, ConfigurationCopy, ConfigurationEvent,
+    ConfigurationFollower, MalformedRecord, NewerRecord,
 };
 pub use prepare::{EditRefusal, EditRequest, prepare_edit};
 pub use record::{
-    ConfigurationRecord, Edit, Initial, KindRevision, RECORD_FORMAT, RecordFault, SectionChange,
-    Snapshot,
+    ConfigurationRecord, Edit, InitialDocument, KindRevision, RECORD_FORMAT, RecordError,
+    SectionChange, Snapshot,
 };
 pub use republish::SnapshotSchedule;
 pub use state::{ConfigurationState, EditEntry, EditOutcome, RecordEffect, Section, Winner};
@@ -31,7 +31,7 @@
 
 /// Document of a state in both forms.
 #[derive(Clone, Debug, PartialEq)]
-pub struct CheckedState {
+pub struct ValidatedDocument {
     /// Raw form.
     pub raw: RawDocument,
     /// Checked form.
@@ -43,8 +43,8 @@
 /// # Errors
 ///
 /// Every fault that this build finds in the document.
-pub fn check_state(state: &ConfigurationState) -> Result<CheckedState, Faults> {
-    check_value(sections::join_sections(state.values())?, state.revision)
+pub fn validate_state(state: &ConfigurationState) -> Result<ValidatedDocument, Faults> {
+    validate_json(sections::join_sections(state.section_values())?, state.revision)
 }
 
 /// Checks a document in its JSON form.
@@ -52,11 +52,11 @@
 /// # Errors
 ///
 /// Every fault that this build finds in the document.
-pub fn check_value(value: Value, revision: Revision) -> Result<CheckedState, Faults> {
+pub fn validate_json(value: Value, revision: Revision) -> Result<ValidatedDocument, Faults> {
     let raw = read_raw(value)?;
     let mut document = Document::try_from(raw.clone())?;
     document.offset = revision;
-    Ok(CheckedState { raw, document })
+    Ok(ValidatedDocument { raw, document })
 }
 
 /// Reads the raw form section by section, so that each unreadable section is one fault with its
@@ -70,7 +70,7 @@
     for kind in sections::empty_kinds(&value) {
         add_read_fault(kind.clone(), &json!({ kind: {} }), &mut faults);
     }
-    for (section, content) in sections::split_value(&value) {
+    for (section, content) in sections::split_json(&value) {
         let alone = sections::join_sections(std::iter::once((&section, &content)))?;
         add_read_fault(section.replacen('/', ".", 1), &alone, &mut faults);
     }
--- a/src/decision/configuration/prepare.rs
+++ b/src/decision/configuration/prepare.rs
@@ -1,9 +1,9 @@
 //! Turns a request to edit the document into a record for the log, or refuses it.
 
 use super::record::{Edit, KindRevision, SectionChange};
-use super::sections::{SINGLE_SECTIONS, join_sections, section_kind};
+use super::sections::{SINGLETON_KINDS, join_sections, section_kind};
 use super::state::{ConfigurationState, EditOutcome};
-use super::{CheckedState, check_value};
+use super::{ValidatedDocument, validate_json};
 use crate::document::Owner;
 use crate::types::{EditId, Faults, OwnerId, SectionPath};
 use schemars::JsonSchema;
@@ -56,7 +56,7 @@
         return Err(EditRefusal::NotOwner(change.section.clone()));
     }
     let requires = required_kinds(state, &request.changes);
-    match state.judge(&request.changes, &requires) {
+    match state.evaluate(&request.changes, &requires) {
         EditOutcome::Accepted => {}
         outdated => return Err(EditRefusal::Outdated(outdated)),
     }
@@ -78,15 +78,15 @@
 pub fn validate_changes(
     state: &ConfigurationState,
     changes: &[SectionChange],
-) -> Result<CheckedState, Faults> {
-    let mut sections: BTreeMap<&SectionPath, &Value> = state.values().collect();
+) -> Result<ValidatedDocument, Faults> {
+    let mut sections: BTreeMap<&SectionPath, &Value> = state.section_values().collect();
     for change in changes {
         match &change.value {
             Some(value) => sections.insert(&change.section, value),
             None => sections.remove(&change.section),
         };
     }
-    check_value(join_sections(sections.into_iter())?, state.revision)
+    validate_json(join_sections(sections.into_iter())?, state.revision)
 }
 
 fn check_form(request: &EditRequest) -> Result<(), EditRefusal> {
@@ -110,9 +110,9 @@
 fn is_section_path(section: &str) -> bool {
     match section.split_once('/') {
         Some((kind, name)) => {
-            !kind.is_empty() && !name.is_empty() && !SINGLE_SECTIONS.contains(&kind)
+            !kind.is_empty() && !name.is_empty() && !SINGLETON_KINDS.contains(&kind)
         }
-        None => SINGLE_SECTIONS.contains(&section),
+        None => SINGLETON_KINDS.contains(&section),
     }
 }
 
--- a/src/decision/configuration/record.rs
+++ b/src/decision/configuration/record.rs
@@ -3,7 +3,7 @@
 //! A record never holds typed sections: nodes of different builds must agree on which records are
 //! sound, so nothing here depends on what a build knows of the document's fields.
 
-use super::sections::split_sections;
+use super::sections::split_document;
 use super::state::{ConfigurationState, Section};
 use crate::document::RawDocument;
 use crate::types::{EditId, LogOffset, Revision, SectionPath};
@@ -24,7 +24,7 @@
 #[serde(tag = "kind", rename_all = "snake_case")]
 pub enum ConfigurationRecord {
     /// First document; counts only while no record has been accepted.
-    Initial(Initial),
+    Initial(InitialDocument),
     /// Change of sections; counts only if every named revision is current.
     Edit(Edit),
     /// Whole state, republished before older records expire.
@@ -33,7 +33,7 @@
 
 /// First document, cut into sections.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Initial {
+pub struct InitialDocument {
     /// Author.
     pub author: SmolStr,
     /// Version of the build that wrote the record.
@@ -88,14 +88,14 @@
 
 /// Why a record cannot be used.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub enum RecordFault {
+pub enum RecordError {
     /// The payload is not a record; it changes nothing on any node.
     Malformed(String),
     /// The record has a later format; this build cannot fold it or anything after it.
     NewerFormat(u32),
 }
 
-impl fmt::Display for RecordFault {
+impl fmt::Display for RecordError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Malformed(reason) => write!(f, "malformed record: {reason}"),
@@ -106,7 +106,7 @@
     }
 }
 
-impl std::error::Error for RecordFault {}
+impl std::error::Error for RecordError {}
 
 #[derive(Deserialize)]
 struct Header {
@@ -122,24 +122,24 @@
 
 impl ConfigurationRecord {
     /// Returns the record that sets `raw` as the first document of an empty stream.
-    pub fn snapshot(raw: RawDocument) -> Self {
-        Self::Initial(Initial {
+    pub fn initial(raw: RawDocument) -> Self {
+        Self::Initial(InitialDocument {
             author: SmolStr::new_static("initial"),
             built_by: SmolStr::new_static(env!("CARGO_PKG_VERSION")),
-            sections: split_sections(&raw),
+            sections: split_document(&raw),
         })
     }
 
     /// Returns the record that sets `raw` as the document of a stream whose records up to `expired_to`
     /// have expired; only nodes that know of no document take it.
-    pub fn restoring(raw: &RawDocument, expired_to: LogOffset) -> Self {
+    pub fn restored_snapshot(raw: &RawDocument, expired_to: LogOffset) -> Self {
         let section = |value| Section {
             revision: expired_to,
             author: SmolStr::new_static("restored"),
             edit_id: None,
             value: Some(value),
         };
-        let sections = split_sections(raw).into_iter();
+        let sections = split_document(raw).into_iter();
         Self::Snapshot(Snapshot {
             state: ConfigurationState {
                 applied: expired_to,
@@ -161,14 +161,14 @@
     /// # Errors
     ///
     /// A payload that is not a record, or one of a later format.
-    pub fn decode(payload: &[u8]) -> Result<Self, RecordFault> {
-        let malformed = |error: serde_json::Error| RecordFault::Malformed(error.to_string());
+    pub fn decode(payload: &[u8]) -> Result<Self, RecordError> {
+        let malformed = |error: serde_json::Error| RecordError::Malformed(error.to_string());
         let header: Header = serde_json::from_slice(payload).map_err(malformed)?;
         if header.format > RECORD_FORMAT {
-            return Err(RecordFault::NewerFormat(header.format));
+            return Err(RecordError::NewerFormat(header.format));
         }
         let record: Self = serde_json::from_slice(payload).map_err(malformed)?;
-        record.check().map_err(|reason| RecordFault::Malformed(reason.to_owned()))?;
+        record.check().map_err(|reason| RecordError::Malformed(reason.to_owned()))?;
         Ok(record)
     }
 
--- a/src/decision/configuration/republish.rs
+++ b/src/decision/configuration/republish.rs
@@ -23,7 +23,7 @@
     }
 
     /// Returns the payload to append now, if any. `wall_now` is compared with the log's clock.
-    pub fn take_due(
+    pub fn take_due_snapshot(
         &mut self,
         follower: &ConfigurationFollower,
         now: Instant,
@@ -31,7 +31,7 @@
     ) -> Option<Bytes> {
         let state = follower.state()?;
         let is_complete = follower.newer_record().is_none() && state.applied > 0;
-        let is_recent = follower.snapshot_at().is_some_and(|at| wall_now < at + self.period);
+        let is_recent = follower.base_appended_at().is_some_and(|at| wall_now < at + self.period);
         if is_recent {
             self.next_attempt_at = None;
         }
--- a/src/decision/configuration/sections.rs
+++ b/src/decision/configuration/sections.rs
@@ -7,7 +7,7 @@
 use std::collections::BTreeMap;
 
 /// Kinds that are one section instead of a section for each name.
-pub const SINGLE_SECTIONS: [&str; 1] = ["site"];
+pub const SINGLETON_KINDS: [&str; 1] = ["site"];
 
 /// Returns the kind of a section: the part of its path before the slash.
 pub fn section_kind(section: &str) -> &str {
@@ -15,20 +15,20 @@
 }
 
 /// Cuts a document into its sections.
-pub fn split_sections(raw: &RawDocument) -> BTreeMap<SectionPath, Value> {
+pub fn split_document(raw: &RawDocument) -> BTreeMap<SectionPath, Value> {
     let value = serde_json::to_value(raw).expect("a raw document is JSON");
-    split_value(&value)
+    split_json(&value)
 }
 
 /// Cuts a document in its JSON form into its sections; values that are no objects are left whole.
-pub fn split_value(document: &Value) -> BTreeMap<SectionPath, Value> {
+pub fn split_json(document: &Value) -> BTreeMap<SectionPath, Value> {
     let mut sections = BTreeMap::new();
     let Value::Object(kinds) = document else {
         return sections;
     };
     for (kind, value) in kinds {
         match value {
-            Value::Object(named) if !SINGLE_SECTIONS.contains(&kind.as_str()) => {
+            Value::Object(named) if !SINGLETON_KINDS.contains(&kind.as_str()) => {
                 for (name, value) in named {
                     sections.insert(format_smolstr!("{kind}/{name}"), value.clone());
                 }
--- a/src/decision/configuration/state.rs
+++ b/src/decision/configuration/state.rs
@@ -1,6 +1,6 @@
 //! Fold of the `configuration` stream: every node computes the same state from the same records.
 
-use super::record::{ConfigurationRecord, Edit, Initial, KindRevision, SectionChange};
+use super::record::{ConfigurationRecord, Edit, InitialDocument, KindRevision, SectionChange};
 use super::sections::section_kind;
 use crate::ports::LogRecord;
 use crate::types::{EditId, LogOffset, Revision, SectionPath};
@@ -14,9 +14,9 @@
 use xxhash_rust::xxh3::Xxh3Default;
 
 /// Edits whose outcome is remembered.
-pub const HISTORY_EDITS: usize = 1_024;
+pub const MAX_HISTORY_EDITS: usize = 1_024;
 /// Removed sections whose last revision is remembered.
-pub const REMOVED_SECTIONS: usize = 4_096;
+pub const MAX_REMOVED_SECTIONS: usize = 4_096;
 
 /// State after a prefix of the stream.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
@@ -27,7 +27,7 @@
     pub revision: Revision,
     /// Sections, removed ones included.
     pub sections: BTreeMap<SectionPath, Arc<Section>>,
-    /// Outcomes of the last [`HISTORY_EDITS`] edits, oldest first.
+    /// Outcomes of the last [`MAX_HISTORY_EDITS`] edits, oldest first.
     pub history: VecDeque<Arc<EditEntry>>,
 }
 
@@ -120,7 +120,7 @@
     }
 
     /// Returns the entry of the edit with this id, if it is remembered.
-    pub fn edit(&self, edit_id: &str) -> Option<&Arc<EditEntry>> {
+    pub fn find_edit(&self, edit_id: &str) -> Option<&Arc<EditEntry>> {
         self.history.iter().rev().find(|entry| entry.edit_id == edit_id)
     }
 
@@ -140,14 +140,14 @@
     }
 
     /// Returns the sections that have a value.
-    pub fn values(&self) -> impl Iterator<Item = (&SectionPath, &Value)> {
+    pub fn section_values(&self) -> impl Iterator<Item = (&SectionPath, &Value)> {
         self.sections
             .iter()
             .filter_map(|(section, content)| Some((section, content.value.as_ref()?)))
     }
 
     /// Returns what an edit with these changes and requirements would come to.
-    pub fn judge(&self, changes: &[SectionChange], requires: &[KindRevision]) -> EditOutcome {
+    pub fn evaluate(&self, changes: &[SectionChange], requires: &[KindRevision]) -> EditOutcome {
         if let Some(winner) = changes.iter().find_map(|change| self.winner_over(change)) {
             return EditOutcome::Lost(winner);
         }
@@ -173,7 +173,7 @@
         hasher.digest()
     }
 
-    fn fold_initial(&mut self, offset: LogOffset, initial: &Initial) -> RecordEffect {
+    fn fold_initial(&mut self, offset: LogOffset, initial: &InitialDocument) -> RecordEffect {
         if self.revision > 0 {
             return RecordEffect::Unchanged;
         }
@@ -191,10 +191,10 @@
     }
 
     fn fold_edit(&mut self, at: &LogRecord, edit: &Edit) -> RecordEffect {
-        if self.edit(&edit.edit_id).is_some() {
+        if self.find_edit(&edit.edit_id).is_some() {
             return RecordEffect::Unchanged;
         }
-        let outcome = self.judge(&edit.changes, &edit.requires);
+        let outcome = self.evaluate(&edit.changes, &edit.requires);
         let accepted = outcome == EditOutcome::Accepted;
         if accepted {
             self.change(at.offset, edit);
@@ -225,7 +225,7 @@
         self.forget_removed();
     }
 
-    /// Forgets the sections removed longest ago beyond [`REMOVED_SECTIONS`].
+    /// Forgets the sections removed longest ago beyond [`MAX_REMOVED_SECTIONS`].
     fn forget_removed(&mut self) {
         let mut removed: Vec<(Revision, SectionPath)> = self
             .sections
@@ -233,7 +233,7 @@
             .filter(|(_, section)| section.value.is_none())
             .map(|(path, section)| (section.revision, path.clone()))
             .collect();
-        let Some(excess) = removed.len().checked_sub(REMOVED_SECTIONS) else {
+        let Some(excess) = removed.len().checked_sub(MAX_REMOVED_SECTIONS) else {
             return;
         };
         removed.sort();
@@ -244,7 +244,7 @@
 
     fn remember(&mut self, entry: EditEntry) {
         self.history.push_back(Arc::new(entry));
-        while self.history.len() > HISTORY_EDITS {
+        while self.history.len() > MAX_HISTORY_EDITS {
             self.history.pop_front();
         }
     }
--- a/src/decision/membership/members.rs
+++ b/src/decision/membership/members.rs
@@ -41,7 +41,7 @@
     }
 
     /// Number of changes so far.
-    pub fn changes(&self) -> u64 {
+    pub fn change_count(&self) -> u64 {
         self.changes
     }
 
--- a/src/decision/membership/messages.rs
+++ b/src/decision/membership/messages.rs
@@ -60,7 +60,7 @@
 #[derive(Clone, Debug)]
 pub enum MembershipEvent {
     /// Partner listeners of the live entry instances on the platform's list.
-    Listed(Vec<SocketAddr>),
+    SeedAddresses(Vec<SocketAddr>),
     /// A link was opened and its peer authenticated.
     LinkOpened {
         /// Record that the peer gave of itself.
@@ -73,12 +73,12 @@
         /// Peer.
         peer: InstanceId,
         /// Whether the peer closed it in good order.
-        in_order: bool,
+        graceful: bool,
     },
     /// A dial failed.
     DialFailed(SocketAddr),
     /// A peer sent any message.
-    Heard(InstanceId),
+    MessageReceived(InstanceId),
     /// A peer sent a ping with a digest of its member set.
     Ping {
         /// Peer.
--- a/src/decision/membership/mod.rs
+++ b/src/decision/membership/mod.rs
@@ -24,7 +24,7 @@
 #[derive(Clone, Debug)]
 pub struct MembershipState {
     settings: MembershipSettings,
-    me: MemberRecord,
+    local: MemberRecord,
     members: Members,
     links: BTreeMap<InstanceId, Link>,
     backoffs: BTreeMap<SocketAddr, DialBackoff>,
@@ -59,14 +59,14 @@
 
 impl MembershipState {
     /// Returns the state of a node that has just started.
-    pub fn new(me: MemberRecord, settings: MembershipSettings) -> Self {
+    pub fn new(local: MemberRecord, settings: MembershipSettings) -> Self {
         let members = Members::new(
             Duration::from_millis(settings.suspicion_timeout_ms),
-            Duration::from_millis(settings.forget_after_ms),
+            Duration::from_millis(settings.dead_retention_ms),
         );
         Self {
             settings,
-            me,
+            local,
             members,
             links: BTreeMap::new(),
             backoffs: BTreeMap::new(),
@@ -80,7 +80,7 @@
     pub fn apply(&mut self, event: MembershipEvent, now: Instant) -> Vec<MembershipCommand> {
         let mut commands = Vec::new();
         match event {
-            MembershipEvent::Listed(addresses) => {
+            MembershipEvent::SeedAddresses(addresses) => {
                 self.listed = addresses;
                 if self.links.is_empty() {
                     self.dial_seeds(now, &mut commands);
@@ -89,11 +89,11 @@
             MembershipEvent::LinkOpened { peer, dialed } => {
                 self.open_link(&peer, dialed, now, &mut commands);
             }
-            MembershipEvent::LinkClosed { peer, in_order } => {
-                self.close_link(&peer, in_order, now, &mut commands);
+            MembershipEvent::LinkClosed { peer, graceful } => {
+                self.close_link(&peer, graceful, now, &mut commands);
             }
             MembershipEvent::DialFailed(address) => self.fail_dial(address, now, &mut commands),
-            MembershipEvent::Heard(peer) => self.hear(&peer, now),
+            MembershipEvent::MessageReceived(peer) => self.hear(&peer, now),
             MembershipEvent::Ping { peer, digest } => {
                 self.compare_digest(&peer, digest, &mut commands);
             }
@@ -107,13 +107,13 @@
     }
 
     /// Record of this node.
-    pub fn me(&self) -> &MemberRecord {
-        &self.me
+    pub fn local_record(&self) -> &MemberRecord {
+        &self.local
     }
 
     /// Digest of the live members; equal sets have equal digests.
     pub fn digest(&self) -> u64 {
-        self.members.digest(&self.me)
+        self.members.digest(&self.local)
     }
 
     /// Estimate of the number of live nodes, this one included; the platform's list stands in while
@@ -133,25 +133,25 @@
     }
 
     /// Whether the nodes are too many for links between all of them.
-    pub fn is_beyond_mesh(&self) -> bool {
-        self.members.live().count() >= self.settings.full_mesh_nodes
+    pub fn exceeds_full_mesh(&self) -> bool {
+        self.members.live().count() >= self.settings.max_full_mesh_nodes
     }
 
     /// Place of this node in the tree over all live nodes; all others are its children while every
     /// node has a link to every other.
     pub fn tree_place(&self) -> TreePlace {
-        if !self.is_beyond_mesh() {
+        if !self.exceeds_full_mesh() {
             let children = self.members.live().map(|member| member.instance.clone()).collect();
             return TreePlace { parent: None, children };
         }
         let alive = |member: &&MemberRecord| member.status == MemberStatus::Alive;
         let others: Vec<&MemberRecord> = self.members.records().filter(alive).collect();
-        tree_place(&self.me, &others)
+        tree_place(&self.local, &others)
     }
 
     /// Number of changes of the members so far.
-    pub fn changes(&self) -> u64 {
-        self.members.changes()
+    pub fn change_count(&self) -> u64 {
+        self.members.change_count()
     }
 
     /// Peers with an open link.
@@ -168,7 +168,7 @@
     ) {
         let link = Link {
             dialed,
-            silent_at: now + Duration::from_millis(self.settings.silence_timeout_ms),
+            silent_at: now + Duration::from_millis(self.settings.receive_timeout_ms),
             unwanted_at: None,
             differing_pings: 0,
         };
@@ -179,7 +179,7 @@
     }
 
     fn all_records(&self, to: &InstanceId) -> MembershipCommand {
-        let records = self.members.records().chain([&self.me]).cloned().collect();
+        let records = self.members.records().chain([&self.local]).cloned().collect();
         MembershipCommand::SendRecords { to: to.clone(), records }
     }
 
@@ -187,11 +187,11 @@
     fn close_link(
         &mut self,
         peer: &InstanceId,
-        in_order: bool,
+        graceful: bool,
         now: Instant,
         commands: &mut Vec<MembershipCommand>,
     ) {
-        if self.links.remove(peer).is_none() || in_order {
+        if self.links.remove(peer).is_none() || graceful {
             return;
         }
         let address = self.members.live().find(|record| record.instance == *peer);
@@ -202,7 +202,7 @@
 
     fn dial(&mut self, address: SocketAddr, now: Instant, commands: &mut Vec<MembershipCommand>) {
         let dials = self.backoffs.get(&address).map_or(0, |backoff| backoff.dials);
-        let wait_ms = self.settings.redial_after_ms << dials.min(BACKOFF_DOUBLINGS);
+        let wait_ms = self.settings.redial_delay_ms << dials.min(BACKOFF_DOUBLINGS);
         let next_dial_at = now + Duration::from_millis(wait_ms);
         self.backoffs.insert(address, DialBackoff { next_dial_at, dials: dials + 1 });
         commands.push(MembershipCommand::Dial(address));
@@ -230,7 +230,7 @@
 
     fn hear(&mut self, peer: &InstanceId, now: Instant) {
         if let Some(link) = self.links.get_mut(peer) {
-            link.silent_at = now + Duration::from_millis(self.settings.silence_timeout_ms);
+            link.silent_at = now + Duration::from_millis(self.settings.receive_timeout_ms);
         }
     }
 
@@ -242,7 +242,7 @@
         commands: &mut Vec<MembershipCommand>,
     ) {
         let own_digest = self.digest();
-        let limit = self.settings.differing_pings;
+        let limit = self.settings.resync_after_mismatches;
         let Some(link) = self.links.get_mut(peer) else { return };
         link.differing_pings = if digest == own_digest { 0 } else { link.differing_pings + 1 };
         if link.differing_pings >= limit {
@@ -261,9 +261,9 @@
     ) {
         let mut news = Vec::new();
         for record in records {
-            if record.instance == self.me.instance {
+            if record.instance == self.local.instance {
                 self.refute(record, commands);
-            } else if record.address == self.me.address && record.status < MemberStatus::Dead {
+            } else if record.address == self.local.address && record.status < MemberStatus::Dead {
                 // An earlier run of this node.
                 let dead = MemberRecord { status: MemberStatus::Dead, ..record.clone() };
                 self.flood(None, &[dead], commands);
@@ -277,10 +277,10 @@
     /// Raises the own version above that of a record that doubts this node.
     fn refute(&mut self, record: &MemberRecord, commands: &mut Vec<MembershipCommand>) {
         let doubts = matches!(record.status, MemberStatus::Suspect | MemberStatus::Dead);
-        let is_alive = self.me.status == MemberStatus::Alive;
-        if doubts && is_alive && record.version >= self.me.version {
-            self.me.version = record.version + 1;
-            self.flood(None, std::slice::from_ref(&self.me), commands);
+        let is_alive = self.local.status == MemberStatus::Alive;
+        if doubts && is_alive && record.version >= self.local.version {
+            self.local.version = record.version + 1;
+            self.flood(None, std::slice::from_ref(&self.local), commands);
         }
     }
 
@@ -300,7 +300,7 @@
     }
 
     fn tick(&mut self, now: Instant, commands: &mut Vec<MembershipCommand>) {
-        if self.me.status == MemberStatus::Left {
+        if self.local.status == MemberStatus::Left {
             return;
         }
         let died = self.members.expire(now);
@@ -338,8 +338,9 @@
     /// Dials partners without a link and closes links that this node dialed and no longer wants.
     fn tend_partners(&mut self, now: Instant, commands: &mut Vec<MembershipCommand>) {
         let live: Vec<&MemberRecord> = self.members.live().collect();
-        let MembershipSettings { full_mesh_nodes, partners, .. } = self.settings;
-        let partners = choose_partners(&self.me, &live, full_mesh_nodes, partners);
+        let MembershipSettings { max_full_mesh_nodes, partial_mesh_partners, .. } = self.settings;
+        let partners =
+            choose_partners(&self.local, &live, max_full_mesh_nodes, partial_mesh_partners);
         let parent = self.tree_place().parent;
         let is_parent = |member: &&&MemberRecord| parent.as_ref() == Some(&member.instance);
         let wanted: BTreeSet<InstanceId> =
@@ -363,7 +364,7 @@
         now: Instant,
         commands: &mut Vec<MembershipCommand>,
     ) {
-        let close_at = now + Duration::from_millis(self.settings.unwanted_link_ms);
+        let close_at = now + Duration::from_millis(self.settings.surplus_link_grace_ms);
         let mut closed = Vec::new();
         for (peer, link) in &mut self.links {
             if !link.dialed || wanted.contains(peer) {
@@ -384,21 +385,21 @@
         for _ in 0..self.listed.len() {
             let address = self.listed[self.next_seed % self.listed.len()];
             self.next_seed = (self.next_seed + 1) % self.listed.len();
-            let is_known = address == self.me.address || self.members.live_at(address).is_some();
+            let is_known = address == self.local.address || self.members.live_at(address).is_some();
             if is_known || !self.may_dial(address, now) {
                 continue;
             }
             self.dial(address, now, commands);
             dials += 1;
-            if dials == self.settings.seed_dials {
+            if dials == self.settings.seed_dials_per_period {
                 return;
             }
         }
     }
 
     fn leave(&mut self, commands: &mut Vec<MembershipCommand>) {
-        self.me.status = MemberStatus::Left;
-        self.flood(None, std::slice::from_ref(&self.me), commands);
+        self.local.status = MemberStatus::Left;
+        self.flood(None, std::slice::from_ref(&self.local), commands);
         let links = std::mem::take(&mut self.links);
         commands.extend(links.into_keys().map(MembershipCommand::Close));
     }
--- a/src/links/message.rs
+++ b/src/links/message.rs
@@ -1,6 +1,6 @@
 //! Messages between partners.
 
-use crate::decision::configuration::{Announcement, ConfigurationCopy};
+use crate::decision::configuration::{ConfigurationAnnouncement, ConfigurationCopy};
 use crate::decision::leaving::LeavingNotice;
 use crate::decision::membership::MemberRecord;
 use crate::decision::poison::Strike;
@@ -32,7 +32,7 @@
         /// Digest of the sender's member set.
         digest: u64,
         /// What the sender knows of the configuration.
-        configuration: Announcement,
+        configuration: ConfigurationAnnouncement,
     },
     /// Records of members.
     Members(Vec<MemberRecord>),
--- a/src/relay/control/partners.rs
+++ b/src/relay/control/partners.rs
@@ -74,7 +74,7 @@
             address,
             context.settings.availability_zone.clone(),
         );
-        let settings = MembershipSettings { redial_after_ms: 300, ..MembershipSettings::default() };
+        let settings = MembershipSettings { redial_delay_ms: 300, ..MembershipSettings::default() };
         Self {
             membership: MembershipState::new(identity.me.clone(), settings),
             identity: Rc::new(RefCell::new(identity)),
@@ -106,7 +106,7 @@
     fn list_live(&self) -> Vec<InstanceId> {
         let others = self.membership.live_members().map(|member| member.instance.clone());
         let mut all: Vec<InstanceId> = others.collect();
-        all.push(self.membership.me().instance.clone());
+        all.push(self.membership.local_record().instance.clone());
         all.sort();
         all
     }
@@ -134,7 +134,7 @@
 
     /// Takes in nodes that announced themselves.
     pub(super) fn apply_announced(&mut self, nodes: &[AnnouncedNode], now: Instant) {
-        let own = self.partners.membership.me().address;
+        let own = self.partners.membership.local_record().address;
         let announced = nodes.iter().map(|node| node.address);
         let mut addresses: Vec<SocketAddr> =
             announced.chain(self.context.settings.seed_partners.iter().copied()).collect();
@@ -142,7 +142,7 @@
         addresses.sort();
         addresses.dedup();
         log::info!("event=nodes_announced addresses={}", addresses.len());
-        self.advance_membership(MembershipEvent::Listed(addresses), now);
+        self.advance_membership(MembershipEvent::SeedAddresses(addresses), now);
     }
 
     /// Adds a link unless another one to the same peer stays.
@@ -154,7 +154,7 @@
         outgoing: Sender<Bytes>,
         now: Instant,
     ) {
-        let own = &self.partners.membership.me().instance;
+        let own = &self.partners.membership.local_record().instance;
         let link = OpenLink { number, dialed, outgoing };
         if !self.partners.links.add(own, &peer.instance, link) {
             return;
@@ -172,7 +172,7 @@
     /// Takes in a message of a partner.
     pub(super) fn receive(&mut self, number: u64, received: ReceivedMessage, now: Instant) {
         let Some(peer) = self.partners.links.peer(number).cloned() else { return };
-        self.advance_membership(MembershipEvent::Heard(peer.clone()), now);
+        self.advance_membership(MembershipEvent::MessageReceived(peer.clone()), now);
         let Some(message) = received.message else { return };
         match message {
             PartnerMessage::Ping { digest, .. } => {
@@ -202,7 +202,7 @@
     /// Takes in the end of a link.
     pub(super) fn end_link(&mut self, number: u64, end: &LinkEnd, now: Instant) {
         let Some(peer) = self.partners.links.peer(number).cloned() else { return };
-        let in_order = match end {
+        let graceful = match end {
             LinkEnd::InOrder => true,
             LinkEnd::Broken(error) => {
                 log::warn!("event=link_broken peer={peer} error=\"{error:#}\"");
@@ -210,7 +210,7 @@
             }
         };
         self.partners.links.remove(&peer);
-        self.advance_membership(MembershipEvent::LinkClosed { peer, in_order }, now);
+        self.advance_membership(MembershipEvent::LinkClosed { peer, graceful }, now);
     }
 
     /// Takes in that a link could not be opened.
@@ -320,23 +320,23 @@
                 }
             }
         }
-        self.partners.identity.borrow_mut().me = self.partners.membership.me().clone();
+        self.partners.identity.borrow_mut().me = self.partners.membership.local_record().clone();
         self.note_nodes();
     }
 
     fn note_nodes(&mut self) {
         let links = i64::try_from(self.partners.links.peers().len()).unwrap_or(i64::MAX);
         self.context.metrics.links.set(links);
-        let changes = Some(self.partners.membership.changes());
+        let changes = Some(self.partners.membership.change_count());
         if changes != self.partners.noted_changes {
             self.partners.noted_changes = changes;
             let live = self.partners.list_live();
             let topics: Vec<RecordTopic> = RecordTopic::iter().collect();
-            let me = &self.partners.membership.me().instance;
+            let me = &self.partners.membership.local_record().instance;
             self.record_watch.borrow_mut().set_nodes(me, &live, &topics);
             self.partners.live = live;
             let place = self.partners.membership.tree_place();
-            let is_tree = self.partners.membership.is_beyond_mesh();
+            let is_tree = self.partners.membership.exceeds_full_mesh();
             if self.loads.set_place(&place, is_tree, &mut self.context.fleet()) {
                 log::info!(
                     "event=neighbours_changed nodes={} parent={} children={} tree={is_tree}",
--- a/tests/configuration/decoders.rs
+++ b/tests/configuration/decoders.rs
@@ -2,7 +2,7 @@
 
 use super::seeded;
 use coriandertide::decision::configuration::{
-    ConfigurationCopy, ConfigurationRecord, RecordFault, check_value,
+    ConfigurationCopy, ConfigurationRecord, RecordError, validate_json,
 };
 use coriandertide::document::RawDocument;
 use proptest::prelude::*;
@@ -27,7 +27,7 @@
     })
 }
 
-fn explained(result: Result<ConfigurationRecord, RecordFault>) -> bool {
+fn explained(result: Result<ConfigurationRecord, RecordError>) -> bool {
     result.err().is_none_or(|fault| !fault.to_string().is_empty())
 }
 
@@ -39,14 +39,14 @@
         prop_assert!(explained(ConfigurationRecord::decode(&bytes)));
         prop_assert!(explained(ConfigurationRecord::decode(value.to_string().as_bytes())));
         let _copy: Result<ConfigurationCopy, _> = serde_json::from_value(value.clone());
-        if let Err(faults) = check_value(value, 1) {
+        if let Err(faults) = validate_json(value, 1) {
             prop_assert!(!faults.to_string().is_empty());
         }
     }
 
     #[test]
     fn mutated_record_decodes_or_is_malformed(at in 0..200_usize, byte in any::<u8>()) {
-        let mut payload = ConfigurationRecord::snapshot(RawDocument::default()).encode().to_vec();
+        let mut payload = ConfigurationRecord::initial(RawDocument::default()).encode().to_vec();
         let index = at % payload.len();
         payload[index] = byte;
         prop_assert!(explained(ConfigurationRecord::decode(&payload)));
@@ -55,7 +55,7 @@
 
 #[test]
 fn encoded_records_keep_their_form() {
-    let record = ConfigurationRecord::snapshot(RawDocument::default());
+    let record = ConfigurationRecord::initial(RawDocument::default());
     assert_eq!(ConfigurationRecord::decode(&record.encode()), Ok(record.clone()));
     let payload = String::from_utf8(record.encode().to_vec()).unwrap();
     insta::assert_snapshot!(payload, @r#"{"format":1,"kind":"initial","author":"initial","built_by":"0.1.0","sections":{"site":{"budget_watts":0,"max_nodes":0,"power_lease_s":900,"zone_links":[]}}}"#);
--- a/tests/configuration/document.rs
+++ b/tests/configuration/document.rs
@@ -1,6 +1,6 @@
 //! Every fault of a document is reported with its path.
 
-use coriandertide::decision::configuration::check_value;
+use coriandertide::decision::configuration::validate_json;
 use coriandertide::document::{Owner, OwnerRole, SectionPattern, hash_key};
 use serde_json::json;
 
@@ -15,7 +15,7 @@
         "owners": { "team": { "key_hashes": [], "role": "editor", "sections": ["owners/team"] } },
         "site": { "budget_watts": 10 },
     });
-    insta::assert_snapshot!(check_value(document, 1).unwrap_err(), @r#"
+    insta::assert_snapshot!(validate_json(document, 1).unwrap_err(), @r#"
     workspaces.survey.key_hashes[0]: must be a SHA-256 in lower-case hexadecimal
     workspaces.survey.requests_per_s: must be above 0
     servers.s1.address: `nowhere` is not an ip:port address
@@ -33,7 +33,7 @@
         "sites": {},
         "site": { "budget_watts": -1 },
     });
-    insta::assert_snapshot!(check_value(document, 1).unwrap_err(), @r#"
+    insta::assert_snapshot!(validate_json(document, 1).unwrap_err(), @r#"
     sites: unknown field `sites`, expected one of `workspaces`, `models`, `servers`, `services`, `site`, `owners`
     site: invalid value: integer `-1`, expected u32
     workspaces.manifest: invalid type: string "many", expected u64
--- a/tests/configuration/editors.rs
+++ b/tests/configuration/editors.rs
@@ -29,7 +29,7 @@
 
 impl Site {
     fn new(seed: u64) -> Self {
-        let first = ConfigurationRecord::snapshot(RawDocument::default()).encode();
+        let first = ConfigurationRecord::initial(RawDocument::default()).encode();
         let mut site = Self {
             log: vec![log_record(1, first)],
             nodes: vec![ConfigurationFollower::default(); NODES],
@@ -48,12 +48,12 @@
     }
 
     fn catch_up(&mut self, node: usize) {
-        let from = usize::try_from(self.nodes[node].next_read()).unwrap() - 1;
+        let from = usize::try_from(self.nodes[node].next_read_offset()).unwrap() - 1;
         let to = self.rng.usize(from..=self.log.len()).max(from);
         let next_offset = self.log.len() as u64 + 1;
         let records = self.log[from..to].to_vec();
         let page = LogPage { first_offset: 1, next_offset, records };
-        self.nodes[node].apply(ConfigurationEvent::Page(page));
+        self.nodes[node].apply(ConfigurationEvent::LogRead(page));
     }
 
     /// An editor adds 1 to a section's rate through a node that may lag; its answer may get lost,
@@ -75,7 +75,7 @@
         };
         loop {
             let state = self.nodes[node].state().unwrap();
-            if let Some(entry) = state.edit(&request.edit_id) {
+            if let Some(entry) = state.find_edit(&request.edit_id) {
                 match &entry.outcome {
                     EditOutcome::Accepted => *self.answered.entry(section).or_default() += 1,
                     EditOutcome::Lost(winner) => assert!(winner.revision < entry.offset),
@@ -124,13 +124,13 @@
         }
         let next_offset = site.log.len() as u64 + 1;
         for node in &mut site.nodes {
-            let from = usize::try_from(node.next_read()).unwrap() - 1;
+            let from = usize::try_from(node.next_read_offset()).unwrap() - 1;
             let records = site.log[from..].to_vec();
-            node.apply(ConfigurationEvent::Page(LogPage { first_offset: 1, next_offset, records }));
+            node.apply(ConfigurationEvent::LogRead(LogPage { first_offset: 1, next_offset, records }));
         }
         for node in &site.nodes {
-            prop_assert_eq!(node.copy(), site.nodes[0].copy());
-            let rates: BTreeMap<String, u32> = node.raw().workspaces.iter()
+            prop_assert_eq!(node.partner_copy(), site.nodes[0].partner_copy());
+            let rates: BTreeMap<String, u32> = node.raw_in_force().workspaces.iter()
                 .map(|(name, workspace)| (format!("workspaces/{name}"), workspace.requests_per_s))
                 .collect();
             prop_assert_eq!(&rates, &site.answered);
--- a/tests/configuration/fold.rs
+++ b/tests/configuration/fold.rs
@@ -18,7 +18,7 @@
 
 fn page(records: &[LogRecord], first_offset: u64, from: u64, to: u64) -> ConfigurationEvent {
     let wanted = |record: &&LogRecord| (from.max(first_offset)..=to).contains(&record.offset);
-    ConfigurationEvent::Page(LogPage {
+    ConfigurationEvent::LogRead(LogPage {
         first_offset,
         next_offset: records.len() as u64 + 1,
         records: records.iter().filter(wanted).cloned().collect(),
@@ -48,7 +48,7 @@
                     vec![KindRevision { kind: "site".into(), revision: naive.newest("site") }];
                 ConfigurationRecord::Edit(edit).encode()
             }
-            Step::Snapshot => match follower.copy() {
+            Step::Snapshot => match follower.partner_copy() {
                 Some(copy) => {
                     let state = copy.state.as_ref().clone();
                     ConfigurationRecord::Snapshot(Snapshot { state }).encode()
@@ -78,7 +78,7 @@
         prop_assert_eq!(sections(&whole), history.last().cloned());
         let state = whole.state().unwrap();
         for (edit_id, offset) in &naive.accepted_ids {
-            prop_assert_eq!(state.edit(edit_id).map(|entry| entry.offset), Some(*offset));
+            prop_assert_eq!(state.find_edit(edit_id).map(|entry| entry.offset), Some(*offset));
         }
 
         let mut overlapping = ConfigurationFollower::default();
@@ -98,18 +98,18 @@
             let offset = late.announcement().offset as usize;
             prop_assert_eq!(Some(found), history.get(offset).cloned());
         }
-        late.apply(ConfigurationEvent::Copy(whole.copy().unwrap()));
+        late.apply(ConfigurationEvent::PartnerCopy(whole.partner_copy().unwrap()));
         prop_assert_eq!(late.state(), whole.state());
     }
 }
 
 #[test]
 fn snapshot_lets_a_late_node_in_after_retention() {
-    let first = ConfigurationRecord::snapshot(RawDocument::default()).encode();
+    let first = ConfigurationRecord::initial(RawDocument::default()).encode();
     let mut early = ConfigurationFollower::default();
     let mut records = vec![log_record(1, first), log_record(2, "bad")];
     early.apply(page(&records, 1, 1, 2));
-    let state = early.copy().unwrap().state.as_ref().clone();
+    let state = early.partner_copy().unwrap().state.as_ref().clone();
     let snapshot = ConfigurationRecord::Snapshot(Snapshot { state });
     records.push(log_record(3, snapshot.encode()));
     records.push(log_record(4, "bad too"));
@@ -118,27 +118,27 @@
     late.apply(page(&records, 3, 1, 3));
     late.apply(page(&records, 3, 4, 4));
     early.apply(page(&records, 1, 3, 4));
-    assert_eq!(late.copy(), early.copy());
-    assert_eq!(late.in_force().offset, 1);
-    assert_eq!(late.next_read(), 5);
+    assert_eq!(late.partner_copy(), early.partner_copy());
+    assert_eq!(late.document_in_force().offset, 1);
+    assert_eq!(late.next_read_offset(), 5);
 }
 
 #[test]
 fn older_copies_and_repeated_pages_never_revert() {
-    let first = ConfigurationRecord::snapshot(RawDocument::default()).encode();
+    let first = ConfigurationRecord::initial(RawDocument::default()).encode();
     let records = vec![log_record(1, first), log_record(2, "bad")];
     let mut follower = ConfigurationFollower::default();
     follower.apply(page(&records, 1, 1, 1));
-    let older = follower.copy().unwrap();
+    let older = follower.partner_copy().unwrap();
     follower.apply(page(&records, 1, 2, 2));
-    assert_eq!(follower.apply(ConfigurationEvent::Copy(older)), vec![]);
+    assert_eq!(follower.apply(ConfigurationEvent::PartnerCopy(older)), vec![]);
     assert_eq!(follower.apply(page(&records, 1, 1, 2)), vec![]);
     assert_eq!(follower.announcement().offset, 2);
 }
 
 #[test]
 fn record_of_a_later_format_stops_the_fold_until_a_copy_passes_it() {
-    let first = ConfigurationRecord::snapshot(RawDocument::default()).encode();
+    let first = ConfigurationRecord::initial(RawDocument::default()).encode();
     let records =
         vec![log_record(1, first), log_record(2, r#"{"format":2}"#), log_record(3, "bad")];
     let mut follower = ConfigurationFollower::default();
@@ -146,17 +146,17 @@
     assert!(commands.contains(&ConfigurationCommand::ReportNewerFormat(2, 2)));
     assert_eq!(follower.announcement().offset, 1);
     assert!(follower.newer_record().is_some());
-    let mut copy = follower.copy().unwrap();
+    let mut copy = follower.partner_copy().unwrap();
     let state = std::sync::Arc::make_mut(&mut copy.state);
     state.applied = 2;
-    follower.apply(ConfigurationEvent::Copy(copy));
+    follower.apply(ConfigurationEvent::PartnerCopy(copy));
     assert_eq!(follower.announcement().offset, 3);
     assert_eq!(follower.newer_record(), None);
 }
 
 #[test]
 fn accepted_document_that_cannot_be_checked_is_held_back() {
-    let first = ConfigurationRecord::snapshot(RawDocument::default()).encode();
+    let first = ConfigurationRecord::initial(RawDocument::default()).encode();
     let later = r#"{"format":1,"kind":"edit","edit_id":"a","author":"a","built_by":"9.0.0",
         "changes":[{"section":"quotas/new","base_revision":0,"value":{}}]}"#;
     let mend = r#"{"format":1,"kind":"edit","edit_id":"b","author":"a","built_by":"9.0.0",
@@ -164,12 +164,12 @@
     let records = vec![log_record(1, first), log_record(2, later), log_record(3, mend)];
     let mut follower = ConfigurationFollower::default();
     follower.apply(page(&records, 1, 1, 2));
-    assert_eq!(follower.in_force().offset, 1);
+    assert_eq!(follower.document_in_force().offset, 1);
     insta::assert_snapshot!(follower.held_back().unwrap(), @"quotas.new: unknown field `quotas`, expected one of `workspaces`, `models`, `servers`, `services`, `site`, `owners`");
     let mut restarted = ConfigurationFollower::default();
-    restarted.apply(ConfigurationEvent::Copy(follower.copy().unwrap()));
+    restarted.apply(ConfigurationEvent::PartnerCopy(follower.partner_copy().unwrap()));
     assert_eq!(restarted.announcement(), follower.announcement());
     follower.apply(page(&records, 1, 3, 3));
-    assert_eq!(follower.in_force().offset, 3);
+    assert_eq!(follower.document_in_force().offset, 3);
     assert_eq!(follower.held_back(), None);
 }
--- a/tests/configuration/generate.rs
+++ b/tests/configuration/generate.rs
@@ -1,7 +1,7 @@
 //! Streams of records for the tests.
 
 use coriandertide::decision::configuration::{
-    ConfigurationRecord, Edit, Initial, KindRevision, SectionChange,
+    ConfigurationRecord, Edit, InitialDocument, KindRevision, SectionChange,
 };
 use coriandertide::ports::LogRecord;
 use proptest::prelude::*;
@@ -66,7 +66,7 @@
 
 /// Returns streams of up to `length` steps.
 pub fn steps(length: u64) -> impl Strategy<Value = Vec<Step>> {
-    let initial = Initial {
+    let initial = InitialDocument {
         author: "initial".into(),
         built_by: "test".into(),
         sections: [("site".into(), json!({ "budget_watts": 100 }))].into(),
--- a/tests/configuration/naive.rs
+++ b/tests/configuration/naive.rs
@@ -1,6 +1,6 @@
 //! Naive fold: keeps the whole stream and works out each question from its beginning.
 
-use coriandertide::decision::configuration::state::HISTORY_EDITS;
+use coriandertide::decision::configuration::state::MAX_HISTORY_EDITS;
 use coriandertide::decision::configuration::{ConfigurationRecord, Edit};
 use serde_json::Value;
 use std::collections::{BTreeMap, BTreeSet};
@@ -36,7 +36,7 @@
     }
 
     fn read_edit(&mut self, offset: u64, edit: Edit) {
-        let remembered = self.seen_ids.iter().rev().take(HISTORY_EDITS);
+        let remembered = self.seen_ids.iter().rev().take(MAX_HISTORY_EDITS);
         if remembered.into_iter().any(|id| *id == edit.edit_id) {
             return;
         }
--- a/tests/together/network.rs
+++ b/tests/together/network.rs
@@ -79,13 +79,15 @@
         };
         self.nodes[index] = Some(MembershipState::new(record, MembershipSettings::default()));
         let listed = (0..self.nodes.len()).map(address).collect();
-        self.apply(index, MembershipEvent::Listed(listed));
+        self.apply(index, MembershipEvent::SeedAddresses(listed));
     }
 
     pub fn kill(&mut self, index: usize) {
         let Some(killed) = self.nodes[index].take() else { return };
-        let peer_event =
-            MembershipEvent::LinkClosed { peer: killed.me().instance.clone(), in_order: false };
+        let peer_event = MembershipEvent::LinkClosed {
+            peer: killed.local_record().instance.clone(),
+            graceful: false,
+        };
         for peer in self.linked(index) {
             self.links.remove(&pair(index, peer));
             self.send(peer, REFUSED_MS, peer_event.clone());
@@ -118,9 +120,9 @@
     /// Asserts that every running node sees just the running nodes.
     pub fn assert_converged(&self) {
         let running: BTreeSet<&InstanceId> =
-            self.nodes.iter().flatten().map(|node| &node.me().instance).collect();
+            self.nodes.iter().flatten().map(|node| &node.local_record().instance).collect();
         for node in self.nodes.iter().flatten() {
-            let me = &node.me().instance;
+            let me = &node.local_record().instance;
             let seen: BTreeSet<&InstanceId> =
                 node.live_members().map(|member| &member.instance).chain([me]).collect();
             assert_eq!(seen, running, "view of {me} at {} ms", self.now_ms);
@@ -130,7 +132,7 @@
     }
 
     fn instance(&self, index: usize) -> Option<&InstanceId> {
-        self.nodes[index].as_ref().map(|node| &node.me().instance)
+        self.nodes[index].as_ref().map(|node| &node.local_record().instance)
     }
 
     fn index_of(&self, instance: &InstanceId) -> Option<usize> {
@@ -151,7 +153,7 @@
     pub fn apply(&mut self, index: usize, event: MembershipEvent) {
         let now = self.start + Duration::from_millis(self.now_ms);
         let Some(node) = &mut self.nodes[index] else { return };
-        let me = node.me().instance.clone();
+        let me = node.local_record().instance.clone();
         for command in node.apply(event, now) {
             match command {
                 MembershipCommand::Dial(address) => self.dial(index, address),
@@ -172,7 +174,7 @@
         let Some(to) = self.index_of(to) else { return };
         if self.links.contains(&pair(from, to)) && self.can_talk(from, to) {
             let peer = self.instance(from).cloned().expect("the sender runs");
-            self.send(to, DELAY_MS, MembershipEvent::Heard(peer));
+            self.send(to, DELAY_MS, MembershipEvent::MessageReceived(peer));
             self.send(to, DELAY_MS, event);
         }
     }
@@ -185,7 +187,7 @@
             self.send(from, REFUSED_MS, MembershipEvent::DialFailed(to));
         } else if self.links.insert(pair(from, index)) {
             for (at, peer, dialed) in [(from, index, true), (index, from, false)] {
-                let peer = self.nodes[peer].as_ref().expect("both run").me().clone();
+                let peer = self.nodes[peer].as_ref().expect("both run").local_record().clone();
                 self.send(at, DELAY_MS, MembershipEvent::LinkOpened { peer, dialed });
             }
         }
@@ -195,7 +197,7 @@
         let Some(to) = self.index_of(peer) else { return };
         if self.links.remove(&pair(from, to)) && self.can_talk(from, to) {
             let peer = self.instance(from).cloned().expect("the closer runs");
-            self.send(to, DELAY_MS, MembershipEvent::LinkClosed { peer, in_order: true });
+            self.send(to, DELAY_MS, MembershipEvent::LinkClosed { peer, graceful: true });
         }
     }
 }
--- a/tests/whole_path/site.rs
+++ b/tests/whole_path/site.rs
@@ -56,7 +56,7 @@
             service: PlainServiceStandIn::start(PlainServiceConfig::default()).unwrap(),
         };
         let raw: RawDocument = serde_json::from_value(site.document()).unwrap();
-        site.log.append("configuration", ConfigurationRecord::snapshot(raw).encode());
+        site.log.append("configuration", ConfigurationRecord::initial(raw).encode());
         site
     }
 
