--- a/examples/capacity_slopes/power.rs
+++ b/examples/capacity_slopes/power.rs
@@ -124,7 +124,7 @@
     let deadline = now + Duration::from_secs(600);
     let account = PowerAccount::default();
     account.set_document(&document()?);
-    let source = PowerSource { parts: TOTAL_PARTS / 2, deadline, starts_until: deadline };
+    let source = PowerSource { parts: TOTAL_PARTS / 2, deadline, start_deadline: deadline };
     account.set_source(SourceId::Share, source);
     let start = |number: u64| PowerRequest {
         request: format!("request-{number}").into(),
--- a/src/control/links.rs
+++ b/src/control/links.rs
@@ -223,7 +223,7 @@
         self.links.metrics.link_received_bytes.inc_by(received.bytes as u64);
         let Some(peer) = self.links.links.peer(link).cloned() else { return };
         self.advance_membership(MembershipEvent::Heard(peer.clone()), now);
-        self.advance_power(PowerEvent::Heard(peer.clone()), now);
+        self.advance_power(PowerEvent::PartnerContact(peer.clone()), now);
         if let Some(message) = received.message {
             self.apply_partner_message(&peer, message, now);
         }
--- a/src/control/partners.rs
+++ b/src/control/partners.rs
@@ -137,7 +137,7 @@
         }
         self.links.queue(source, |outbox| outbox.add_leaving(notices.clone()));
         self.routing.apply(RoutingEvent::Leaving(self.leaving.servers()), now);
-        self.placement.apply(PlacementEvent::Leaving(self.leaving.servers()), now);
+        self.placement.apply(PlacementEvent::LeavingServers(self.leaving.servers()), now);
     }
 
     /// Keeps leaving servers polled, so that a new incarnation is noticed.
--- a/src/control/placement.rs
+++ b/src/control/placement.rs
@@ -27,7 +27,7 @@
         let held = self.held_lease(LeaseKind::Placement);
         for command in self.placement.apply(PlacementEvent::Tick(held), now) {
             match command {
-                PlacementCommand::Read { server, address } => {
+                PlacementCommand::Poll { server, address } => {
                     self.context.spawn(polls::poll_load(self.context.clone(), server, address));
                 }
                 PlacementCommand::Order { server, address, order, reason } => {
@@ -47,23 +47,23 @@
         &mut self,
         server: &ServerId,
         report: &LoadReport,
-        asked_at: Instant,
+        polled_at: Instant,
         now: Instant,
     ) {
         let (server, report) = (server.clone(), report.clone());
-        self.placement.apply(PlacementEvent::Report { server, report, asked_at }, now);
+        self.placement.apply(PlacementEvent::Report { server, report, polled_at }, now);
     }
 
     /// Takes in that a server did not report.
     pub(super) fn place_without_report(&mut self, server: &ServerId, now: Instant) {
-        self.placement.apply(PlacementEvent::Unreachable { server: server.clone() }, now);
+        self.placement.apply(PlacementEvent::PollFailed { server: server.clone() }, now);
     }
 
     /// Takes in the work of an answer.
     pub(super) fn place_by_answer(&mut self, feedback: &AnswerFeedback, now: Instant) {
         let Some(timing) = &feedback.timing else { return };
         let decode = timing.ended_at.saturating_duration_since(timing.first_token_at);
-        let event = PlacementEvent::Answered {
+        let event = PlacementEvent::AnswerCompleted {
             model: feedback.model.clone(),
             computed_tokens: feedback.prompt_tokens.saturating_sub(feedback.cached_tokens),
             decode_ms: u64::try_from(decode.as_millis()).unwrap_or(u64::MAX),
@@ -80,7 +80,7 @@
                     "event=placement_answer server={server} fencing_number={fencing_number} \
                      outcome={outcome:?}"
                 );
-                let event = PlacementEvent::Ordered { server, fencing_number, outcome };
+                let event = PlacementEvent::OrderAnswered { server, fencing_number, outcome };
                 self.placement.apply(event, now);
             }
             Err(error) => {
--- a/src/control/power.rs
+++ b/src/control/power.rs
@@ -5,7 +5,7 @@
 use super::{ControlContext, ControlEvent, ControlState};
 use crate::adapters::deadline::within;
 use crate::decision::power::{
-    PowerCommand, PowerEvent, PowerFigures, PowerMessage, PowerSettings, PowerState,
+    PowerCommand, PowerEvent, PowerMessage, PowerSettings, PowerState, PowerStats,
 };
 use crate::links::PartnerMessage;
 use crate::ports::{LoadReport, LogPage, LogStream};
@@ -48,8 +48,8 @@
     }
 
     /// Returns the node's figures at `now`.
-    pub fn figures(&self, now: Instant) -> PowerFigures {
-        self.state.figures(now)
+    pub fn figures(&self, now: Instant) -> PowerStats {
+        self.state.stats(now)
     }
 }
 
@@ -74,7 +74,7 @@
     /// Takes in that the process of an instance has ended.
     pub(super) fn end_instance(&mut self, instance: InstanceId, now: Instant) {
         log::info!("event=instance_ended instance={instance}");
-        self.advance_power(PowerEvent::Ended(instance), now);
+        self.advance_power(PowerEvent::InstanceEnded(instance), now);
     }
 
     /// Takes in that a server may be idle.
@@ -82,12 +82,12 @@
         &mut self,
         server: &ServerId,
         report: &LoadReport,
-        asked_at: Instant,
+        polled_at: Instant,
         now: Instant,
     ) {
         if report.running_requests == 0 && report.waiting_requests == 0 {
             let server = server.clone();
-            self.advance_power(PowerEvent::ServerIdle { server, asked_at }, now);
+            self.advance_power(PowerEvent::ServerIdle { server, polled_at }, now);
         }
     }
 
--- a/src/decision/placement/demand.rs
+++ b/src/decision/placement/demand.rs
@@ -80,17 +80,23 @@
     }
 
     fn next_wanted(&self, last: Option<WantedServers>, busy: f64, now: Instant) -> WantedServers {
-        let PlacementSettings { highest_busy, lowest_busy, lower_after_ms, .. } = self.settings;
-        let needed = (busy / highest_busy).ceil() as u32;
+        let PlacementSettings {
+            scale_up_busy_fraction,
+            scale_down_busy_fraction,
+            scale_down_after_ms,
+            ..
+        } = self.settings;
+        let needed = (busy / scale_up_busy_fraction).ceil() as u32;
         let Some(last) = last else { return WantedServers { servers: needed, lower_at: None } };
         if needed > last.servers {
             return WantedServers { servers: needed, lower_at: None };
         }
-        let is_low = last.servers > 0 && busy <= lowest_busy * f64::from(last.servers - 1);
+        let is_low =
+            last.servers > 0 && busy <= scale_down_busy_fraction * f64::from(last.servers - 1);
         if !is_low {
             return WantedServers { lower_at: None, ..last };
         }
-        let lower_at = last.lower_at.unwrap_or(now + Duration::from_millis(lower_after_ms));
+        let lower_at = last.lower_at.unwrap_or(now + Duration::from_millis(scale_down_after_ms));
         if now < lower_at {
             return WantedServers { lower_at: Some(lower_at), ..last };
         }
--- a/src/decision/placement/messages.rs
+++ b/src/decision/placement/messages.rs
@@ -16,11 +16,11 @@
     /// The document in force changed.
     Document(Arc<Document>),
     /// Servers that must get no new work.
-    Leaving(BTreeSet<ServerId>),
+    LeavingServers(BTreeSet<ServerId>),
     /// The number of live nodes, this one included, changed.
     LiveNodes(u32),
     /// This node relayed a complete answer.
-    Answered {
+    AnswerCompleted {
         /// Model.
         model: ModelId,
         /// Prompt tokens that the server computed.
@@ -35,15 +35,15 @@
         /// Report.
         report: LoadReport,
         /// When the node asked for the report.
-        asked_at: Instant,
+        polled_at: Instant,
     },
     /// A server did not answer.
-    Unreachable {
+    PollFailed {
         /// Server.
         server: ServerId,
     },
     /// A server answered an order.
-    Ordered {
+    OrderAnswered {
         /// Server.
         server: ServerId,
         /// Fencing number of the order.
@@ -59,7 +59,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum PlacementCommand {
     /// Ask a server for its load report.
-    Read {
+    Poll {
         /// Server.
         server: ServerId,
         /// Its address.
--- a/src/decision/placement/mod.rs
+++ b/src/decision/placement/mod.rs
@@ -32,7 +32,7 @@
     models: Vec<LoadedModel>,
     is_loading: bool,
     is_leaving: bool,
-    asked_at: Instant,
+    polled_at: Instant,
 }
 
 /// Order that does not show in the server's report yet.
@@ -83,23 +83,25 @@
     pub fn apply(&mut self, event: PlacementEvent, now: Instant) -> Vec<PlacementCommand> {
         match event {
             PlacementEvent::Document(document) => self.set_document(document),
-            PlacementEvent::Leaving(servers) => self.leaving = servers,
+            PlacementEvent::LeavingServers(servers) => self.leaving = servers,
             PlacementEvent::LiveNodes(live_nodes) => self.live_nodes = live_nodes.max(1),
-            PlacementEvent::Answered { model, computed_tokens, decode_ms } => {
+            PlacementEvent::AnswerCompleted { model, computed_tokens, decode_ms } => {
                 self.demand.add(&self.document, &model, computed_tokens, decode_ms, now);
             }
-            PlacementEvent::Report { server, report, asked_at } => {
-                self.read_report(&server, report, asked_at);
+            PlacementEvent::Report { server, report, polled_at } => {
+                self.read_report(&server, report, polled_at);
             }
-            PlacementEvent::Unreachable { server } => {
+            PlacementEvent::PollFailed { server } => {
                 if let Some(known) = self.servers.get_mut(&server) {
                     known.failed_reads += 1;
                 }
             }
-            PlacementEvent::Ordered { fencing_number, outcome: OrderOutcome::Fenced, .. } => {
+            PlacementEvent::OrderAnswered {
+                fencing_number, outcome: OrderOutcome::Fenced, ..
+            } => {
                 self.fenced_number = self.fenced_number.max(fencing_number);
             }
-            PlacementEvent::Ordered { .. } => {}
+            PlacementEvent::OrderAnswered { .. } => {}
             PlacementEvent::Tick(held) => return self.tick(held, now),
         }
         Vec::new()
@@ -113,13 +115,13 @@
         self.document = document;
     }
 
-    fn read_report(&mut self, server: &ServerId, report: LoadReport, asked_at: Instant) {
+    fn read_report(&mut self, server: &ServerId, report: LoadReport, polled_at: Instant) {
         let Some(known) = self.servers.get_mut(server) else { return };
-        if known.report.as_ref().is_some_and(|last| asked_at < last.asked_at) {
+        if known.report.as_ref().is_some_and(|last| polled_at < last.polled_at) {
             return;
         }
         let settled = |order: &mut OpenOrder| {
-            asked_at > order.sent_at
+            polled_at > order.sent_at
                 && report.loading.is_empty()
                 && same_models(&report.models, &order.models)
         };
@@ -129,7 +131,7 @@
             is_loading: !report.loading.is_empty(),
             is_leaving: report.leaving,
             models: report.models,
-            asked_at,
+            polled_at,
         });
     }
 
@@ -158,7 +160,7 @@
             .map(|(name, server)| (name.clone(), self.view(name, server, held, now)))
             .collect();
         let loading = self.servers.values().filter(|known| known.is_loading()).count();
-        let free_loads = self.settings.loads_at_once.saturating_sub(loading);
+        let free_loads = self.settings.max_concurrent_loads.saturating_sub(loading);
         if !self.servers.values().all(KnownServer::is_known) {
             return Vec::new();
         }
@@ -176,7 +178,7 @@
         let Some(known) = self.servers.get(name) else { return out_of_service() };
         let Some(report) = &known.report else { return out_of_service() };
         let may_order_unfenced =
-            now >= held.unfenced_orders_from && report.asked_at >= held.unfenced_orders_from;
+            now >= held.unfenced_orders_from && report.polled_at >= held.unfenced_orders_from;
         let may_order = !known.is_loading() && (server.checks_fencing || may_order_unfenced);
         let models = known.order.as_ref().map_or(&report.models, |order| &order.models);
         ServerView {
@@ -222,7 +224,7 @@
         due.sort();
         let due: Vec<ServerId> = due
             .into_iter()
-            .take(self.settings.reads_per_tick)
+            .take(self.settings.max_polls_per_tick)
             .map(|(_, _, name)| name.clone())
             .collect();
         due.into_iter().filter_map(|server| self.read(server, now)).collect()
@@ -231,10 +233,13 @@
     fn read(&mut self, server: ServerId, now: Instant) -> Option<PlacementCommand> {
         let address = self.document.servers.get(&server)?.address;
         let known = self.servers.get_mut(&server)?;
-        let read_ms =
-            if known.is_loading() || known.report.is_none() { 0 } else { self.settings.read_ms };
-        known.read_at = Some(now + Duration::from_millis(read_ms));
-        Some(PlacementCommand::Read { server, address })
+        let poll_period_ms = if known.is_loading() || known.report.is_none() {
+            0
+        } else {
+            self.settings.poll_period_ms
+        };
+        known.read_at = Some(now + Duration::from_millis(poll_period_ms));
+        Some(PlacementCommand::Poll { server, address })
     }
 }
 
--- a/src/decision/placement/settings.rs
+++ b/src/decision/placement/settings.rs
@@ -7,35 +7,41 @@
 #[serde(deny_unknown_fields, default)]
 pub struct PlacementSettings {
     /// Servers that may load weights at once.
-    pub loads_at_once: usize,
+    #[serde(rename = "loads_at_once")]
+    pub max_concurrent_loads: usize,
     /// Part of a server's time that its model may be busy before another server is added.
-    pub highest_busy: f64,
+    #[serde(rename = "highest_busy")]
+    pub scale_up_busy_fraction: f64,
     /// Part of its servers' time below which a model would be busy with one server fewer before
     /// that server may be used for another model.
-    pub lowest_busy: f64,
+    #[serde(rename = "lowest_busy")]
+    pub scale_down_busy_fraction: f64,
     /// Milliseconds for which demand must stay low before a server is given up.
-    pub lower_after_ms: u64,
+    #[serde(rename = "lower_after_ms")]
+    pub scale_down_after_ms: u64,
     /// Milliseconds after which half of a measured demand is forgotten.
     pub demand_half_life_ms: u64,
     /// Milliseconds after which an order that did not show in the server's report is repeated.
     pub order_timeout_ms: u64,
     /// Milliseconds between readings of a server's report while nothing is ordered of it.
-    pub read_ms: u64,
+    #[serde(rename = "read_ms")]
+    pub poll_period_ms: u64,
     /// Reports read at most in one tick.
-    pub reads_per_tick: usize,
+    #[serde(rename = "reads_per_tick")]
+    pub max_polls_per_tick: usize,
 }
 
 impl Default for PlacementSettings {
     fn default() -> Self {
         Self {
-            loads_at_once: 2,
-            highest_busy: 0.7,
-            lowest_busy: 0.5,
-            lower_after_ms: 60_000,
+            max_concurrent_loads: 2,
+            scale_up_busy_fraction: 0.7,
+            scale_down_busy_fraction: 0.5,
+            scale_down_after_ms: 60_000,
             demand_half_life_ms: 30_000,
             order_timeout_ms: 10_000,
-            read_ms: 15_000,
-            reads_per_tick: 2,
+            poll_period_ms: 15_000,
+            max_polls_per_tick: 2,
         }
     }
 }
--- a/src/decision/power/account.rs
+++ b/src/decision/power/account.rs
@@ -34,7 +34,7 @@
     /// From when the parts may no longer be used.
     pub deadline: Instant,
     /// From when the parts cover no new work.
-    pub starts_until: Instant,
+    pub start_deadline: Instant,
 }
 
 /// Power that was refused since it was last taken.
@@ -87,9 +87,9 @@
     }
 
     /// Postpones the time from when a source covers no new work.
-    pub fn postpone_starts_until(&self, id: &SourceId, starts_until: Instant) {
+    pub fn extend_start_deadline(&self, id: &SourceId, start_deadline: Instant) {
         if let Some(source) = self.lock().sources.get_mut(id) {
-            source.starts_until = source.starts_until.max(starts_until);
+            source.start_deadline = source.start_deadline.max(start_deadline);
         }
     }
 
@@ -99,7 +99,7 @@
     }
 
     /// Whether running work needs a source.
-    pub fn needs_source(&self, id: &SourceId, now: Instant) -> bool {
+    pub fn is_source_needed(&self, id: &SourceId, now: Instant) -> bool {
         let mut state = self.lock();
         let Some(source) = state.sources.remove(id) else { return false };
         let is_needed = !state.is_covered(now);
@@ -118,14 +118,14 @@
     }
 
     /// Returns the parts of the node's share that running work does not need at `now`.
-    pub fn spare_parts(&self, now: Instant) -> u64 {
-        self.lock().spare_parts(now)
+    pub fn uncommitted_parts(&self, now: Instant) -> u64 {
+        self.lock().uncommitted_parts(now)
     }
 
     /// Takes up to `most_parts` that running work does not need away from the node's share.
-    pub fn take_spare(&self, most_parts: u64, now: Instant) -> u64 {
+    pub fn take_uncommitted(&self, most_parts: u64, now: Instant) -> u64 {
         let mut state = self.lock();
-        let taken_parts = state.spare_parts(now).min(most_parts);
+        let taken_parts = state.uncommitted_parts(now).min(most_parts);
         if let Some(share) = state.sources.get_mut(&SourceId::Share) {
             share.parts -= taken_parts;
         }
--- a/src/decision/power/account_state.rs
+++ b/src/decision/power/account_state.rs
@@ -104,7 +104,7 @@
     fn startable_parts(&self, now: Instant) -> u64 {
         self.sources
             .values()
-            .filter(|source| source.deadline > now && source.starts_until > now)
+            .filter(|source| source.deadline > now && source.start_deadline > now)
             .map(|source| source.parts)
             .sum()
     }
@@ -146,7 +146,7 @@
     }
 
     /// Parts of the share that can be taken away while the rest covers the work at every moment.
-    pub(super) fn spare_parts(&self, now: Instant) -> u64 {
+    pub(super) fn uncommitted_parts(&self, now: Instant) -> u64 {
         let Some(share) = self.sources.get(&SourceId::Share) else { return 0 };
         if share.deadline <= now || !self.is_covered(now) {
             return 0;
--- a/src/decision/power/ended.rs
+++ b/src/decision/power/ended.rs
@@ -53,9 +53,9 @@
     }
 
     /// Takes in a report without running or waiting requests.
-    pub fn add_idle(&mut self, server: ServerId, asked_at: Instant) {
+    pub fn add_idle(&mut self, server: ServerId, polled_at: Instant) {
         let latest = self.idle_asked_at.entry(server).or_default();
-        *latest = (*latest).max(Some(asked_at));
+        *latest = (*latest).max(Some(polled_at));
     }
 
     /// Whether a probe of `instance` is due; postpones the next one.
@@ -85,6 +85,6 @@
         let idle_proof_ms = self.settings.idle_proof_ms();
         let earliest =
             proven_at + Duration::from_millis(idle_proof_ms) + drift_margin(idle_proof_ms);
-        self.idle_asked_at.values().all(|asked_at| asked_at.is_some_and(|at| at >= earliest))
+        self.idle_asked_at.values().all(|polled_at| polled_at.is_some_and(|at| at >= earliest))
     }
 }
--- a/src/decision/power/holding.rs
+++ b/src/decision/power/holding.rs
@@ -25,7 +25,7 @@
         };
         let kept_parts = self.kept_parts(held);
         let parts = kept_parts.saturating_sub(self.transfers.given_parts());
-        let source = PowerSource { parts, deadline: held.deadline, starts_until: held.deadline };
+        let source = PowerSource { parts, deadline: held.deadline, start_deadline: held.deadline };
         self.account.set_source(SourceId::Share, source);
     }
 
@@ -42,7 +42,7 @@
         if let Some(record) = self.next_append(now) {
             commands.push(PowerCommand::Append(StreamRecord::Change(record)));
         }
-        commands.extend(self.ledger.upkeep(now).map(PowerCommand::Append));
+        commands.extend(self.ledger.take_due_maintenance(now).map(PowerCommand::Append));
         if !self.is_stopping {
             commands.extend(self.reclaim(now));
             commands.extend(self.probe(now));
@@ -70,7 +70,7 @@
             return None;
         }
         let surplus_parts = held_parts.saturating_sub(wanted_parts);
-        let given_up_parts = self.account.take_spare(surplus_parts, now);
+        let given_up_parts = self.account.take_uncommitted(surplus_parts, now);
         let parts = wanted_parts + (surplus_parts - given_up_parts);
         Some(self.send_hold(parts, self.settings.lease_ms, now))
     }
@@ -87,7 +87,7 @@
     fn wanted_parts(&self, held_parts: u64, now: Instant) -> Option<u64> {
         let fair_parts = self.fair_parts(now);
         if held_parts > fair_parts {
-            let surplus_parts = self.account.spare_parts(now).min(held_parts - fair_parts);
+            let surplus_parts = self.account.uncommitted_parts(now).min(held_parts - fair_parts);
             return Some(held_parts - surplus_parts);
         }
         match self.ledger.free_parts() {
@@ -135,7 +135,7 @@
         let mut commands = self.transfers.return_unneeded(now);
         let Some(held) = self.held else { return commands };
         let kept_parts = self.kept_parts(held);
-        let used_parts = kept_parts - self.account.take_spare(kept_parts, now);
+        let used_parts = kept_parts - self.account.take_uncommitted(kept_parts, now);
         let used_until = self.transfers.last_regain_at().max(self.account.last_work_deadline());
         let record = match used_until.filter(|_| used_parts > 0) {
             None => self.send(ShareAction::Release, now),
--- a/src/decision/power/ledger.rs
+++ b/src/decision/power/ledger.rs
@@ -32,16 +32,16 @@
 
 /// Share as this node read it.
 #[derive(Clone, Debug)]
-pub struct ReadEntry {
+pub struct TimedEntry {
     /// Share.
     pub entry: ShareEntry,
     /// When nobody can use the share any more.
-    pub lapsed_at: Instant,
+    pub expires_at: Instant,
 }
 
 /// Share record as read, and whether it counts.
 #[derive(Clone, Debug)]
-pub struct ReadShare {
+pub struct FoldedRecord {
     /// Record.
     pub record: ShareRecord,
     /// Whether the record changed the ledger.
@@ -51,7 +51,7 @@
 /// All shares as read from the log.
 #[derive(Clone, Debug)]
 pub struct ShareLedger {
-    entries: BTreeMap<InstanceId, ReadEntry>,
+    entries: BTreeMap<InstanceId, TimedEntry>,
     reader: StreamReader<ShareRecord>,
     transit_ms: u64,
 }
@@ -65,7 +65,7 @@
     }
 
     /// Takes in that shares may last `lease_ms`.
-    pub fn allow_lease(&mut self, lease_ms: u64) {
+    pub fn raise_max_lease(&mut self, lease_ms: u64) {
         self.reader.allow_lapse(lease_ms + self.transit_ms);
     }
 
@@ -85,7 +85,7 @@
     }
 
     /// Returns the shares in the order of their instances.
-    pub fn entries(&self) -> impl Iterator<Item = &ReadEntry> {
+    pub fn entries(&self) -> impl Iterator<Item = &TimedEntry> {
         self.entries.values()
     }
 
@@ -95,7 +95,7 @@
     }
 
     /// Returns a checkpoint or reset to append, if one is due.
-    pub fn upkeep(&mut self, now: Instant) -> Option<ShareStreamRecord> {
+    pub fn take_due_maintenance(&mut self, now: Instant) -> Option<ShareStreamRecord> {
         if self.reader.take_reset_due(now) {
             return Some(StreamRecord::Reset);
         }
@@ -106,14 +106,19 @@
     }
 
     /// Folds a page that was asked for from offset `from`; returns the records read.
-    pub fn fold_page(&mut self, page: &LogPage, from: LogOffset, now: Instant) -> Vec<ReadShare> {
+    pub fn fold_page(
+        &mut self,
+        page: &LogPage,
+        from: LogOffset,
+        now: Instant,
+    ) -> Vec<FoldedRecord> {
         let mut read = Vec::new();
         for step in self.reader.read(page, from, now) {
             match step {
                 FoldStep::Install(entries) => self.install(entries, now),
                 FoldStep::Apply { offset, record } => {
                     let counts = self.apply(&record, offset, now);
-                    read.push(ReadShare { record, counts });
+                    read.push(FoldedRecord { record, counts });
                 }
             }
         }
@@ -131,8 +136,8 @@
 
     fn insert(&mut self, entry: ShareEntry, now: Instant) {
         let transit = Duration::from_millis(self.transit_ms);
-        let lapsed_at = reader_deadline(now, entry.lease_ms) + transit;
-        self.entries.insert(entry.instance.clone(), ReadEntry { entry, lapsed_at });
+        let expires_at = reader_deadline(now, entry.lease_ms) + transit;
+        self.entries.insert(entry.instance.clone(), TimedEntry { entry, expires_at });
     }
 
     fn apply(&mut self, record: &ShareRecord, offset: LogOffset, now: Instant) -> bool {
--- a/src/decision/power/messages.rs
+++ b/src/decision/power/messages.rs
@@ -110,15 +110,15 @@
         live_nodes: u32,
     },
     /// A partner gave a sign of life.
-    Heard(InstanceId),
+    PartnerContact(InstanceId),
     /// The address of an instance refuses connections: its process has ended.
-    Ended(InstanceId),
+    InstanceEnded(InstanceId),
     /// A server reported that it runs no request and none waits.
     ServerIdle {
         /// Server.
         server: ServerId,
         /// When the report was asked for.
-        asked_at: Instant,
+        polled_at: Instant,
     },
     /// Time passed.
     Tick,
@@ -176,7 +176,7 @@
 
 /// Power figures of a node, for metrics.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
-pub struct PowerFigures {
+pub struct PowerStats {
     /// Watts that the node may commit.
     pub allowed_watts: u64,
     /// Watts committed to running requests.
--- a/src/decision/power/mod.rs
+++ b/src/decision/power/mod.rs
@@ -19,7 +19,7 @@
 pub use account::{PowerAccount, PowerSource, SourceId};
 pub use account_state::shared_watts;
 pub use messages::{
-    PowerAnswer, PowerCommand, PowerEvent, PowerFigures, PowerMessage, PowerRequest, ShareAction,
+    PowerAnswer, PowerCommand, PowerEvent, PowerMessage, PowerRequest, PowerStats, ShareAction,
     ShareRecord, TOTAL_PARTS,
 };
 pub use settings::PowerSettings;
@@ -28,7 +28,7 @@
 use crate::types::{InstanceId, LogOffset};
 use account_state::watts_of_parts;
 use ended::EndedInstances;
-use ledger::{ReadShare, ShareEntry, ShareLedger};
+use ledger::{FoldedRecord, ShareEntry, ShareLedger};
 use smol_str::SmolStr;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -139,13 +139,13 @@
                 self.live_nodes = Some(live_nodes);
                 commands = self.ask_first(now);
             }
-            PowerEvent::Heard(instance) => {
+            PowerEvent::PartnerContact(instance) => {
                 self.ended.clear_proof(&instance);
                 self.transfers.hear(&instance, now);
             }
-            PowerEvent::Ended(instance) => self.ended.add_proof(instance, now),
-            PowerEvent::ServerIdle { server, asked_at } => {
-                self.ended.add_idle(server, asked_at);
+            PowerEvent::InstanceEnded(instance) => self.ended.add_proof(instance, now),
+            PowerEvent::ServerIdle { server, polled_at } => {
+                self.ended.add_idle(server, polled_at);
             }
             PowerEvent::Tick => commands = self.tick(now),
             PowerEvent::Stop => commands = self.stop(now),
@@ -169,10 +169,10 @@
     }
 
     /// Returns the node's figures at `now`.
-    pub fn figures(&self, now: Instant) -> PowerFigures {
+    pub fn stats(&self, now: Instant) -> PowerStats {
         let shared_watts = self.account.shared_watts();
         let held = self.held.filter(|held| now < held.deadline);
-        PowerFigures {
+        PowerStats {
             allowed_watts: self.account.allowed_watts(now),
             committed_watts: self.account.committed_watts(),
             given_watts: watts_of_parts(self.transfers.given_parts(), shared_watts),
@@ -184,7 +184,7 @@
     /// Sets how long the shares that this node takes from now on last.
     fn set_lease(&mut self, lease_ms: u64) {
         self.settings.lease_ms = lease_ms;
-        self.ledger.allow_lease(lease_ms);
+        self.ledger.raise_max_lease(lease_ms);
     }
 
     /// Asks for power as soon as a node without a share has partners, so that its first request
@@ -238,7 +238,7 @@
     }
 
     fn read_page(&mut self, page: &LogPage, from: LogOffset, now: Instant) {
-        for ReadShare { record, counts } in self.ledger.fold_page(page, from, now) {
+        for FoldedRecord { record, counts } in self.ledger.fold_page(page, from, now) {
             if record.instance == self.instance {
                 self.confirm(&record, counts);
             }
--- a/src/decision/power/reclaim.rs
+++ b/src/decision/power/reclaim.rs
@@ -1,6 +1,6 @@
 //! Release of the shares of other instances, once nothing of theirs can run any more.
 
-use super::ledger::{ReadEntry, ShareEntry};
+use super::ledger::{ShareEntry, TimedEntry};
 use super::{PowerCommand, PowerState, ShareAction, ShareRecord};
 use crate::decision::leases::stream::StreamRecord;
 use std::time::{Duration, Instant};
@@ -39,12 +39,12 @@
     }
 
     /// Whether nothing that the holder started or granted can run any more.
-    fn is_reclaimable(&self, read: &ReadEntry, now: Instant) -> bool {
+    fn is_reclaimable(&self, read: &TimedEntry, now: Instant) -> bool {
         let spread_seed = xxhash_rust::xxh3::xxh3_64(self.instance.as_bytes());
         let holder = read.entry.instance.as_bytes();
         let spread = xxhash_rust::xxh3::xxh3_64_with_seed(holder, spread_seed);
-        let lapsed_at = read.lapsed_at + Duration::from_millis(spread % RECLAIM_SPREAD_MS);
-        now >= lapsed_at || self.ended.has_work_ended(&read.entry, now)
+        let expires_at = read.expires_at + Duration::from_millis(spread % RECLAIM_SPREAD_MS);
+        now >= expires_at || self.ended.has_work_ended(&read.entry, now)
     }
 
     /// Probes instances that have a share and no link to this node, some at a time. An instance
--- a/src/decision/power/settings.rs
+++ b/src/decision/power/settings.rs
@@ -23,12 +23,14 @@
     pub transit_ms: u64,
     /// Milliseconds between asks while power is lacking; an ask is answered within it or not at
     /// all.
-    pub ask_ms: u64,
+    #[serde(rename = "ask_ms")]
+    pub ask_period_ms: u64,
     /// Milliseconds beyond the request that lacked power for which a grant is asked, so that later
     /// requests can use it too.
     pub grant_reuse_ms: u64,
     /// Milliseconds after the last message of a giver from which its grants cover no new work.
-    pub heard_ms: u64,
+    #[serde(rename = "heard_ms")]
+    pub contact_timeout_ms: u64,
     /// Longest time in milliseconds by which a server's load report lags.
     pub report_lag_ms: u64,
     /// Milliseconds between probes of an instance that has a share and no link to this node.
@@ -48,8 +50,8 @@
     /// without requests shows that its work has ended on that server too: no grant of it covers
     /// new work, nothing is under way, and the report does not show an earlier state.
     pub fn idle_proof_ms(&self) -> u64 {
-        let last_grant_ms = self.transit_ms.max(self.ask_ms);
-        last_grant_ms + self.heard_ms + self.transit_ms + self.report_lag_ms
+        let last_grant_ms = self.transit_ms.max(self.ask_period_ms);
+        last_grant_ms + self.contact_timeout_ms + self.transit_ms + self.report_lag_ms
     }
 }
 
@@ -61,9 +63,9 @@
             repeat_ms: 2_000,
             work_limit_ms: 120_000,
             transit_ms: 3_000,
-            ask_ms: 400,
+            ask_period_ms: 400,
             grant_reuse_ms: 30_000,
-            heard_ms: 3_000,
+            contact_timeout_ms: 3_000,
             report_lag_ms: 4_000,
             probe_ms: 2_000,
             grant_idle_ms: 2_000,
--- a/src/decision/power/transfers.rs
+++ b/src/decision/power/transfers.rs
@@ -160,8 +160,8 @@
         if open.lacking_parts == 0 {
             open.closes_at = now;
         }
-        let starts_until = now + Duration::from_millis(self.settings.heard_ms);
-        let source = PowerSource { parts: *parts, deadline, starts_until };
+        let start_deadline = now + Duration::from_millis(self.settings.contact_timeout_ms);
+        let source = PowerSource { parts: *parts, deadline, start_deadline };
         self.account.set_source(id.source(), source);
         let received = ReceivedGrant { parts: *parts, deadline, return_at: None };
         self.received.insert(id, received);
@@ -184,8 +184,8 @@
         if given_until > share_deadline {
             return None;
         }
-        let free_parts = self.account.spare_parts(now).saturating_sub(own_parts);
-        let parts = self.account.take_spare(free_parts.min(*parts), now);
+        let free_parts = self.account.uncommitted_parts(now).saturating_sub(own_parts);
+        let parts = self.account.take_uncommitted(free_parts.min(*parts), now);
         if parts == 0 {
             return None;
         }
@@ -205,9 +205,9 @@
 
     /// Takes in a sign of life of `giver`: its grants cover new work for a while longer.
     pub fn hear(&self, giver: &InstanceId, now: Instant) {
-        let starts_until = now + Duration::from_millis(self.settings.heard_ms);
+        let start_deadline = now + Duration::from_millis(self.settings.contact_timeout_ms);
         for id in self.received.keys().filter(|id| id.giver == *giver) {
-            self.account.postpone_starts_until(&id.source(), starts_until);
+            self.account.extend_start_deadline(&id.source(), start_deadline);
         }
     }
 
@@ -260,7 +260,7 @@
     fn mark_idle(&mut self, now: Instant) {
         let idle_return_at = now + Duration::from_millis(self.settings.grant_idle_ms);
         for (id, grant) in &mut self.received {
-            if self.account.needs_source(&id.source(), now) {
+            if self.account.is_source_needed(&id.source(), now) {
                 grant.return_at = None;
                 continue;
             }
@@ -290,7 +290,7 @@
         let has_closed = self.ask.take().is_some();
         if let Some(lack) = self.account.take_lack(now) {
             self.lacking_parts = lack.parts;
-            self.lacking_until = Some(now + 2 * Duration::from_millis(self.settings.ask_ms));
+            self.lacking_until = Some(now + 2 * Duration::from_millis(self.settings.ask_period_ms));
             if self.partners.is_empty() {
                 return Vec::new();
             }
@@ -336,7 +336,7 @@
         self.ask = Some(OpenAsk {
             number: self.last_ask,
             sent_at: now,
-            closes_at: now + Duration::from_millis(self.settings.ask_ms),
+            closes_at: now + Duration::from_millis(self.settings.ask_period_ms),
             lacking_parts: parts,
             seen: BTreeSet::new(),
         });
--- a/tests/power/placement.rs
+++ b/tests/power/placement.rs
@@ -73,8 +73,8 @@
 }
 
 impl World {
-    fn new(shape: &Shape, loads_at_once: usize) -> Self {
-        let settings = PlacementSettings { loads_at_once, ..PlacementSettings::default() };
+    fn new(shape: &Shape, max_concurrent_loads: usize) -> Self {
+        let settings = PlacementSettings { max_concurrent_loads, ..PlacementSettings::default() };
         let document = document(shape);
         let engines = document.servers.keys().map(|name| (name.clone(), Engine::default()));
         let mut world = Self {
@@ -125,7 +125,7 @@
     fn execute(&mut self, command: PlacementCommand) {
         let now = self.now();
         match command {
-            PlacementCommand::Read { server, .. } => {
+            PlacementCommand::Poll { server, .. } => {
                 let engine = &self.engines[&server];
                 let report = LoadReport {
                     incarnation: 1,
@@ -138,7 +138,7 @@
                     fencing_number: 1,
                     next_event: 0,
                 };
-                let event = PlacementEvent::Report { server, report, asked_at: now };
+                let event = PlacementEvent::Report { server, report, polled_at: now };
                 self.state.apply(event, now);
             }
             PlacementCommand::Order { server, order, .. } => {
@@ -155,7 +155,7 @@
                     engine.remaining_ms = LOAD_MS;
                 }
                 let outcome = OrderOutcome::Accepted;
-                let event = PlacementEvent::Ordered { server, fencing_number: 1, outcome };
+                let event = PlacementEvent::OrderAnswered { server, fencing_number: 1, outcome };
                 self.state.apply(event, now);
             }
         }
@@ -249,7 +249,7 @@
     for second in 0..120 {
         let decode_ms = if second < 60 { 22_500 } else { 0 };
         let event =
-            PlacementEvent::Answered { model: model.clone(), computed_tokens: 0, decode_ms };
+            PlacementEvent::AnswerCompleted { model: model.clone(), computed_tokens: 0, decode_ms };
         world.state.apply(event, world.now());
         (0..20).for_each(|_| world.step());
         counts.push(world.serving(&model));
@@ -265,13 +265,16 @@
     let edited = Shape { models: vec![(2, 12)], ..shape.clone() };
     let figures: Vec<String> = [1, 2, 4]
         .into_iter()
-        .map(|loads_at_once| {
-            let mut world = World::new(&shape, loads_at_once);
+        .map(|max_concurrent_loads| {
+            let mut world = World::new(&shape, max_concurrent_loads);
             world.settle().unwrap();
             world.loading_ms = 0;
             world.edit(document(&edited));
             let settled_ms = world.settle().unwrap();
-            format!("{loads_at_once} at once: {settled_ms} ms, {} ms loading", world.loading_ms)
+            format!(
+                "{max_concurrent_loads} at once: {settled_ms} ms, {} ms loading",
+                world.loading_ms
+            )
         })
         .collect();
     insta::assert_snapshot!(figures.join("\n"), @r"
--- a/tests/power/power.rs
+++ b/tests/power/power.rs
@@ -28,9 +28,9 @@
         repeat_ms: 1_000,
         work_limit_ms: 20_000,
         transit_ms: 2_000,
-        ask_ms: 3_000,
+        ask_period_ms: 3_000,
         grant_reuse_ms: 5_000,
-        heard_ms: 3_000,
+        contact_timeout_ms: 3_000,
         report_lag_ms: 2_000,
         ..PowerSettings::default()
     }
@@ -350,16 +350,16 @@
             .collect();
         for run in live {
             if run != self.nodes[index].run && self.random.u8(..) < 50 {
-                self.apply(index, PowerEvent::Heard(run));
+                self.apply(index, PowerEvent::PartnerContact(run));
             }
         }
         let server = self.random.usize(..SERVERS);
         let lag_steps = self.random.u64(..self.settings.report_lag_ms) / STEP_MS;
         let shown = self.busy.len().checked_sub(1 + lag_steps as usize);
         if shown.is_some_and(|shown| !self.busy[shown][server]) {
-            let asked_at = self.nodes[index].clock.at(self.now_ms);
+            let polled_at = self.nodes[index].clock.at(self.now_ms);
             let server = format!("server-{server}").into();
-            self.apply(index, PowerEvent::ServerIdle { server, asked_at });
+            self.apply(index, PowerEvent::ServerIdle { server, polled_at });
         }
     }
 
@@ -400,7 +400,7 @@
                     let listens = |node: &Node| node.address == address.as_str();
                     if !self.nodes.iter().any(listens) {
                         self.reclaimed += 1;
-                        self.apply(index, PowerEvent::Ended(instance));
+                        self.apply(index, PowerEvent::InstanceEnded(instance));
                     }
                 }
                 PowerCommand::Shed(requests) => {
@@ -499,7 +499,7 @@
     log.append(serde_json::to_vec(&record).unwrap(), 1);
     let mut ledger = ShareLedger::new(&"reader".into(), 60_000, 2_000);
     ledger.fold_page(&log.read(1, 2).unwrap(), 1, now);
-    let lapses_in = ledger.entries().next().unwrap().lapsed_at - now;
+    let lapses_in = ledger.entries().next().unwrap().expires_at - now;
     insta::assert_snapshot!(lapses_in.as_millis(), @"62800");
 }
 
--- a/tests/power/power_account.rs
+++ b/tests/power/power_account.rs
@@ -127,7 +127,7 @@
                 Op::Source { id, parts, ends, starts } => {
                     twin.sources.retain(|(source, ..)| *source != id);
                     twin.sources.push((id, parts, ends, starts));
-                    let source = PowerSource { parts, deadline: at(ends), starts_until: at(starts) };
+                    let source = PowerSource { parts, deadline: at(ends), start_deadline: at(starts) };
                     account.set_source(source_id(id), source);
                 }
                 Op::Reduce { id, parts } => {
@@ -140,7 +140,7 @@
                     }
                 }
                 Op::Take { parts } => {
-                    let taken = account.take_spare(parts, at(now));
+                    let taken = account.take_uncommitted(parts, at(now));
                     prop_assert!(taken <= parts);
                     let reduced = twin.with_parts(0, |last| last - taken);
                     prop_assert!(taken == 0 || reduced.is_covered(now));
