--- a/src/control/partners.rs
+++ b/src/control/partners.rs
@@ -137,7 +137,7 @@
         }
         self.links.queue(source, |outbox| outbox.add_leaving(notices.clone()));
         self.routing.apply(RoutingEvent::Leaving(self.leaving.leaving_servers()), now);
-        self.placement.apply(PlacementEvent::Leaving(self.leaving.leaving_servers()), now);
+        self.placement.apply(PlacementEvent::LeavingServers(self.leaving.leaving_servers()), now);
     }
 
     /// Keeps leaving servers polled, so that a new incarnation is noticed.
