--- a/src/decision/relay/admission.rs
+++ b/src/decision/relay/admission.rs
@@ -1,56 +1,57 @@
-//! Whether a request is sent to the server chosen for it, or refused at once.
+//! Admission control: sends a request to the chosen server or refuses it at once.
 //!
-//! A server with more work than it can begin within the latency objective would answer everything
-//! late. Refusing what exceeds the objective keeps the others on time; a caller that comes back after
-//! a refusal is late already and is served whatever the backlog, behind those that can be on time.
+//! A server whose backlog exceeds the latency objective would answer every request late. Refusing
+//! the excess keeps the other requests on time. A retry after a refusal is late already, so it is
+//! admitted with a much longer backlog, but at a lower priority than first tries.
 
 use std::time::{Duration, Instant};
 
-/// Part of the latency objective that the work ahead of a new request may take.
+/// Fraction of the latency objective that the expected wait of a first try may take.
 const FIRST_TRY_OBJECTIVE_FRACTION: f64 = 0.85;
 
-/// Part of the remaining time that the work ahead of any request may take.
+/// Fraction of the remaining time that the expected wait of any request may take.
 const REMAINING_TIME_FRACTION: f64 = 0.6;
 
-/// Part of the time at first from which a request counts as one that comes back.
+/// Fraction of the timeout below which the remaining time marks a request as a retry.
 const RETRY_REMAINING_FRACTION: f64 = 0.95;
 
-/// Milliseconds of work ahead beyond which no request is sent: callers leave a stream that has not
-/// begun after two seconds.
+/// Maximum expected wait of a retry: callers drop a stream that has not begun after two seconds.
 const MAX_EXPECTED_MS: f64 = 1_500.0;
 
-/// Longest time after which a refused caller is asked to come back.
+/// Maximum delay after which a refused caller is told to retry.
 const MAX_RETRY_DELAY_MS: f64 = 1_500.0;
 
-/// Priorities by which a request that comes back stands behind new ones.
+/// Levels by which the priority of a retry is below that of a first try.
 const RETRY_PRIORITY_STEP: u8 = 1;
 
-/// Request as far as it decides the admission.
+/// Facts about a request that decide its admission.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct AdmissionRequest {
-    /// Milliseconds that the caller waits from now on.
+    /// Milliseconds that the caller still waits.
     pub remaining_ms: f64,
-    /// Milliseconds that callers of the route wait at first.
+    /// Timeout of the route in milliseconds.
     pub timeout_ms: f64,
     /// Milliseconds within which the answer should begin.
     pub latency_objective_ms: f64,
-    /// Whether a server has run it in part, so that refusing it would waste that.
+    /// Whether a server has run part of the request; refusing it would waste that work.
     pub has_started: bool,
 }
 
 impl AdmissionRequest {
-    /// Whether the caller has used some of its time before, at another node or try.
+    /// Whether the caller has spent time on an earlier try or another node.
     pub fn is_retry(&self) -> bool {
         self.remaining_ms < self.timeout_ms * RETRY_REMAINING_FRACTION
     }
 
-    /// Returns the priority with which servers are to take the request.
+    /// Returns the priority to send to the server for a request of `priority`.
     pub fn server_priority(&self, priority: u8) -> u8 {
         if self.is_retry() { priority.saturating_add(RETRY_PRIORITY_STEP) } else { priority }
     }
 
-    /// Returns when the caller should come back if the server that would begin in `expected_ms`
-    /// must not get the request, none if it may.
+    /// Returns when the caller should retry if the request must be refused, `None` if it is
+    /// admitted.
+    ///
+    /// `expected_ms` is the expected time until the chosen server begins to answer.
     pub fn refusal_retry_at(&self, expected_ms: f64, now: Instant) -> Option<Instant> {
         if self.has_started {
             return None;
--- a/src/decision/relay/choose.rs
+++ b/src/decision/relay/choose.rs
@@ -1,10 +1,11 @@
-//! The choice of a server for a request.
+//! Choice of a server for a request.
 //!
-//! Each candidate has a cost in milliseconds: the work that waits there, what of the prompt it would
-//! have to read or fetch, the distance, and what is known of its health. All nodes rank the servers
-//! of a prefix alike by rendezvous hashing, so that without a message they send it to one home, and
-//! to the next ones only when the home has more work than a transfer of the prefix costs. Long runs
-//! and long prompts go to different servers, since each prompt that is read delays every token there.
+//! Each candidate has a cost in milliseconds: its backlog, the part of the prompt that it would
+//! have to prefill or fetch, the distance and its health. All nodes rank the servers of a prefix
+//! alike by rendezvous hashing. Without exchanging messages they thus send a prefix to the same
+//! home server, and to the next ones only when the backlog of the home server costs more than a
+//! transfer of the prefix. Decode-heavy requests and long prompts go to different servers, since
+//! each prefill delays every token that the server generates.
 
 use super::fleet::Fleet;
 use super::prompt::{PrefixKey, Prompt};
@@ -15,60 +16,60 @@
 use std::time::{Duration, Instant};
 use strum::{Display, IntoStaticStr};
 
-/// Cost of a server in another availability zone: the way there and back.
+/// Cost of a server in another availability zone: the network round trip.
 const CROSS_ZONE_COST_MS: f64 = 8.0;
 
-/// Milliseconds that a plain call occupies a slot, as cost of a queue.
+/// Milliseconds for which a plain call occupies a slot, used as the cost of a queue.
 const PLAIN_CALL_MS: f64 = 60.0;
 
-/// Requests for each slot that a plain server takes before it rejects some.
+/// Requests per slot beyond which plain servers reject some.
 const MAX_PLAIN_REQUESTS_PER_SLOT: u32 = 4;
 
-/// Time after which a server with older weights is not used any more.
+/// Time after which a server with outdated weights gets no more requests.
 pub(super) const MAX_OUTDATED_WEIGHTS_PERIOD: Duration = Duration::from_millis(6_000);
 
-/// Wait before a caller comes back if no server is known.
+/// Retry delay of a caller if no server can take its request.
 const NO_SERVER_RETRY_DELAY: Duration = Duration::from_millis(700);
 
 /// Server chosen for a request.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Choice {
-    /// Server.
+    /// Chosen server.
     pub server: ServerId,
-    /// Address.
+    /// Address of the server.
     pub address: SocketAddr,
-    /// Availability zone.
+    /// Availability zone of the server.
     pub availability_zone: AvailabilityZone,
-    /// Cost in milliseconds, penalties included.
+    /// Cost in milliseconds, including penalties.
     pub cost_ms: f64,
     /// Expected milliseconds until the server begins to answer.
     pub expected_ms: f64,
-    /// Cost of the next best server in milliseconds, none if there is no other.
+    /// Second best server with its cost in milliseconds, `None` if there is no other.
     pub runner_up: Option<(ServerId, f64)>,
-    /// What the choice says of a prompt.
+    /// Cache use and weights, `None` for a plain call.
     pub prompt: Option<PromptChoice>,
-    /// Load that the request adds.
+    /// Load that the request adds to the server.
     pub load: ServerLoad,
 }
 
-/// Choice for a prompt.
+/// Cache use and weights of a prompt at the chosen server.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct PromptChoice {
-    /// Weights that the server is believed to hold.
+    /// Weights that the server is believed to have loaded.
     pub weights: WeightsRevision,
-    /// Name under which the prefixes are cached.
+    /// Salt of the cache keys.
     pub cache_salt: SmolStr,
-    /// Keys of the shared prefixes.
+    /// Keys of the shared prefixes, shortest first.
     pub keys: Vec<PrefixKey>,
-    /// Where the server should fetch the prefix from.
+    /// Server or store to fetch the prefix from.
     pub fetch_from: Option<SocketAddr>,
-    /// Where the server should save the prefix to.
+    /// Store to save the prefix to.
     pub save_to: Option<SocketAddr>,
     /// Seconds of the store's link that the fetch takes.
     pub fetch_s: f64,
     /// Seconds of the store's link that the save takes.
     pub save_s: f64,
-    /// Rank of the server among the prefix's homes, 0 for the first.
+    /// Rendezvous rank of the server for the prefix, 0 for the home server.
     pub rank: usize,
 }
 
@@ -78,35 +79,35 @@
 pub enum UnavailableReason {
     /// The service has no servers.
     NoServer,
-    /// All servers are out of reach or silent.
+    /// All servers are unreachable or silent.
     Unreachable,
-    /// All servers are full or change their weights.
+    /// All servers are full or loading new weights.
     Closed,
     /// All servers have outdated weights.
     OutdatedWeights,
 }
 
-/// No server can take a request now.
+/// Error of a choice without a usable server.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Unavailable {
     /// Reason.
     pub reason: UnavailableReason,
-    /// When a server may take it.
+    /// When to retry.
     pub retry_at: Instant,
 }
 
-/// What decides the choice beside the servers.
+/// Request for a server.
 #[derive(Clone, Copy, Debug)]
 pub struct ServerQuery<'a> {
-    /// Service.
+    /// Service that the request is for.
     pub service: &'a ServiceId,
-    /// Prompt, none for a plain call.
+    /// Prompt, `None` for a plain call.
     pub prompt: Option<&'a Prompt>,
-    /// Isolated workspace, whose cache entries no other one may use.
+    /// Workspace with cache isolation that the request belongs to, `None` for others.
     pub isolated_workspace: Option<&'a str>,
     /// Priority, 0 is the highest.
     pub priority: u8,
-    /// Servers that had the request already.
+    /// Servers to which the request has been sent already.
     pub tried: &'a [ServerId],
 }
 
@@ -115,7 +116,7 @@
     ///
     /// # Errors
     ///
-    /// No server can take the request now; the error says when one may.
+    /// No server can take the request now; the error says when to retry.
     pub fn choose(&self, query: ServerQuery<'_>, now: Instant) -> Result<Choice, Unavailable> {
         let mut candidates: Vec<&Server> = self
             .servers
@@ -146,8 +147,8 @@
     }
 
     fn has_usable_weights(&self, server: &Server, model: &ModelId, now: Instant) -> bool {
-        let Some(held) = server.weights.get(model) else { return false };
-        let since = self.targets.get(model).and_then(|target| target.outdated_since(*held));
+        let Some(revision) = server.weights.get(model) else { return false };
+        let since = self.targets.get(model).and_then(|target| target.outdated_since(*revision));
         since.is_none_or(|since| now < since + MAX_OUTDATED_WEIGHTS_PERIOD)
     }
 
@@ -160,17 +161,18 @@
                 continue;
             }
             let waiting = requests.saturating_sub(slots - 1);
-            let taken = f64::from(requests) / f64::from(slots);
+            let occupancy = f64::from(requests) / f64::from(slots);
             let queue_ms = f64::from(waiting) / f64::from(slots) * PLAIN_CALL_MS;
             let cost_ms = queue_ms
-                + taken * PLAIN_CALL_MS / 2.0
+                + occupancy * PLAIN_CALL_MS / 2.0
                 + self.zone_cost_ms(server)
                 + server.health.cost_ms(now);
             costs.push((cost_ms, *server));
         }
         let Some((best, runner_up)) = two_cheapest(&costs) else {
-            let call = Duration::from_millis(PLAIN_CALL_MS as u64) * MAX_PLAIN_REQUESTS_PER_SLOT;
-            return Err(unavailable(UnavailableReason::Closed, now + call));
+            let queue_time =
+                Duration::from_millis(PLAIN_CALL_MS as u64) * MAX_PLAIN_REQUESTS_PER_SLOT;
+            return Err(unavailable(UnavailableReason::Closed, now + queue_time));
         };
         let load = ServerLoad { requests: 1, ..ServerLoad::default() };
         let slots = best.1.entry.slots.max(1);
@@ -180,15 +182,15 @@
     }
 
     pub(super) fn zone_cost_ms(&self, server: &Server) -> f64 {
-        let is_near = server.entry.availability_zone == self.availability_zone;
-        if is_near { 0.0 } else { CROSS_ZONE_COST_MS }
+        let is_same_zone = server.entry.availability_zone == self.availability_zone;
+        if is_same_zone { 0.0 } else { CROSS_ZONE_COST_MS }
     }
 }
 
-/// Server with its cost in milliseconds.
+/// Cost in milliseconds with its server.
 pub(super) type CostedServer<'a> = (f64, &'a Server);
 
-/// Returns the choice of `best`.
+/// Builds the choice of `best`.
 pub(super) fn build_choice(
     best: CostedServer<'_>,
     expected_ms: f64,
@@ -213,44 +215,46 @@
     Unavailable { reason, retry_at }
 }
 
-/// Drops the servers that are not preferred, unless that would drop all.
+/// Drops the servers that are not preferred, unless none is.
 fn retain_preferred_if_any(candidates: &mut Vec<&Server>, is_preferred: impl Fn(&Server) -> bool) {
     if candidates.iter().any(|server| is_preferred(server)) {
         candidates.retain(|server| is_preferred(server));
     }
 }
 
-/// Drops the servers that are barred; the error says when the first of them is free if all are.
+/// Drops unavailable servers; if all are, the error is the time at which the first becomes
+/// available.
 fn retain_available(
     candidates: &mut Vec<&Server>,
-    barred_until: impl Fn(&Server) -> Option<Instant>,
+    unavailable_until: impl Fn(&Server) -> Option<Instant>,
 ) -> Result<(), Instant> {
-    let mut free_at: Option<Instant> = None;
-    candidates.retain(|server| match barred_until(server) {
+    let mut first_available_at: Option<Instant> = None;
+    candidates.retain(|server| match unavailable_until(server) {
         None => true,
         Some(until) => {
-            free_at = Some(free_at.map_or(until, |earlier| earlier.min(until)));
+            first_available_at =
+                Some(first_available_at.map_or(until, |earlier| earlier.min(until)));
             false
         }
     });
-    match free_at {
-        Some(free_at) if candidates.is_empty() => Err(free_at),
+    match first_available_at {
+        Some(first_available_at) if candidates.is_empty() => Err(first_available_at),
         _ => Ok(()),
     }
 }
 
-/// Returns the cheapest and the next server.
+/// Returns the cheapest server and the second cheapest.
 pub(super) fn two_cheapest<'a>(
     costs: &[CostedServer<'a>],
 ) -> Option<(CostedServer<'a>, Option<CostedServer<'a>>)> {
     let mut best: Option<CostedServer<'a>> = None;
     let mut second: Option<CostedServer<'a>> = None;
-    for &costed in costs {
-        if best.is_none_or(|(cost_ms, _)| costed.0 < cost_ms) {
+    for &candidate in costs {
+        if best.is_none_or(|(cost_ms, _)| candidate.0 < cost_ms) {
             second = best;
-            best = Some(costed);
-        } else if second.is_none_or(|(cost_ms, _)| costed.0 < cost_ms) {
-            second = Some(costed);
+            best = Some(candidate);
+        } else if second.is_none_or(|(cost_ms, _)| candidate.0 < cost_ms) {
+            second = Some(candidate);
         }
     }
     best.map(|best| (best, second))
--- a/src/decision/relay/configuration.rs
+++ b/src/decision/relay/configuration.rs
@@ -1,4 +1,4 @@
-//! Configuration of the relay as a source names it: routes, services, limits and workspaces.
+//! Configuration of the relay: routes, services, caller limits and workspaces.
 
 use crate::types::{AvailabilityZone, ModelId, RouteId, ServiceId, WorkspaceId};
 use smol_str::SmolStr;
@@ -7,17 +7,17 @@
 use std::sync::Arc;
 use strum::Display;
 
-/// Whether a request may be run again.
+/// Whether a request may run more than once.
 #[derive(Clone, Copy, Debug, Display, Eq, PartialEq)]
 #[strum(serialize_all = "snake_case")]
 pub enum RetrySafety {
-    /// Idempotent: may run any number of times.
+    /// May run any number of times.
     Idempotent,
-    /// Runs at most once.
+    /// Must run at most once.
     AtMostOnce,
-    /// Event stream that runs at most once.
+    /// Event stream that must run at most once.
     Stream,
-    /// Event stream that another server can go on with from the last whole event.
+    /// Event stream that another server can resume after the last complete event.
     ResumableStream,
 }
 
@@ -33,25 +33,25 @@
     }
 }
 
-/// Service with its part of a route's requests.
+/// Service with its share of a route's requests.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct RouteTarget {
     /// Service.
     pub service: ServiceId,
-    /// Part of the requests, relative to the other targets.
+    /// Share of the requests, relative to the weights of the other targets.
     pub weight: u32,
 }
 
-/// Route: what is promised to the requests of a host below a path prefix.
+/// Route: service and guarantees of the requests to one host and path prefix.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Route {
-    /// Name, for logs and metrics.
+    /// Name in logs and metrics.
     pub name: RouteId,
     /// Host, in lower case.
     pub host: SmolStr,
-    /// Prefix of the path; begins and ends with a slash.
+    /// Path prefix; begins and ends with a slash.
     pub path_prefix: SmolStr,
-    /// Whether requests may be run again.
+    /// Whether requests may run more than once.
     pub retry_safety: RetrySafety,
     /// Milliseconds after which a request gets a final answer.
     pub timeout_ms: u64,
@@ -59,16 +59,16 @@
     pub latency_objective_ms: u64,
     /// Priority, 0 is the highest.
     pub priority: u8,
-    /// Servers that one request may be sent to.
+    /// Maximum number of servers that one request is sent to.
     pub max_attempts: u32,
     /// Whether requests need no key.
     pub is_public: bool,
-    /// Services, with their parts.
+    /// Services that share the requests.
     pub targets: Vec<RouteTarget>,
 }
 
 impl Route {
-    /// Returns the service of the request with hash `request_hash`.
+    /// Returns the service of the request with hash `request_hash`, `None` if all weights are 0.
     pub fn service(&self, request_hash: u64) -> Option<&ServiceId> {
         let total: u64 = self.targets.iter().map(|target| u64::from(target.weight)).sum();
         let mut position = request_hash.checked_rem(total)?;
@@ -83,16 +83,16 @@
     }
 }
 
-/// Properties of the model engines of a service.
+/// Properties of a service's model engines.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct EngineProperties {
     /// Requests that a server runs at once.
     pub slots: u32,
-    /// Tokens that a server's KV cache holds.
+    /// Capacity of a server's KV cache in tokens.
     pub kv_capacity_tokens: u64,
     /// Bytes of a token in the KV cache.
     pub kv_token_bytes: u64,
-    /// Models that the servers hold.
+    /// Models that the servers serve.
     pub models: Vec<ModelId>,
 }
 
@@ -101,46 +101,46 @@
 pub struct Service {
     /// Connections that one server accepts from all nodes together.
     pub max_connections: u32,
-    /// Engine properties, none for a plain service.
+    /// Engine properties, `None` for a plain service.
     pub engine: Option<EngineProperties>,
 }
 
-/// Store of kept KV cache.
+/// External store of KV cache.
 #[derive(Clone, Debug, PartialEq)]
 pub struct KvCacheStore {
     /// Address.
     pub address: SocketAddr,
     /// Availability zone.
     pub availability_zone: AvailabilityZone,
-    /// Megabits that its link carries in a second.
+    /// Bandwidth of its link in megabits per second.
     pub link_mbit_per_s: f64,
 }
 
-/// Limits on what a caller may send.
+/// Limits on callers.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct CallerLimits {
-    /// Bytes of a head.
+    /// Maximum bytes of a request head.
     pub head_bytes: usize,
-    /// Bytes of a body.
+    /// Maximum bytes of a request body.
     pub body_bytes: usize,
-    /// Milliseconds that a caller may take to send a head.
+    /// Milliseconds that a caller may take to send a request head.
     pub head_timeout_ms: u64,
-    /// Milliseconds that a connection may stay idle.
+    /// Milliseconds for which a connection may stay idle.
     pub idle_timeout_ms: u64,
 }
 
-/// Workspace, found by one of its keys.
+/// Workspace that a caller's key belongs to.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Workspace {
     /// Name.
     pub name: WorkspaceId,
-    /// Priority that goes before the route's, 0 is the highest.
+    /// Priority that replaces the route's, 0 is the highest.
     pub priority: Option<u8>,
-    /// Whether it shares no KV cache with other workspaces.
+    /// Whether the workspace has cache isolation: it shares no KV cache with other workspaces.
     pub is_isolated: bool,
 }
 
-/// Checked configuration of the relay.
+/// Validated configuration of the relay.
 #[derive(Clone, Debug, Default)]
 pub struct Configuration {
     /// Revision; higher is newer.
@@ -148,7 +148,7 @@
     routes: HashMap<SmolStr, Vec<Arc<Route>>>,
     /// Services by name.
     pub services: BTreeMap<ServiceId, Service>,
-    /// Stores of kept KV cache.
+    /// External stores of KV cache.
     pub kv_stores: Vec<KvCacheStore>,
     /// Limits on callers.
     pub limits: Option<CallerLimits>,
@@ -159,16 +159,16 @@
 /// Who sent a request.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Caller {
-    /// The request needs no key.
+    /// No key is needed.
     Anonymous,
-    /// The request carries a key of this workspace.
+    /// The key belongs to this workspace.
     Workspace(Arc<Workspace>),
-    /// The request carries no key that counts.
+    /// The key is missing or belongs to no workspace.
     Unknown,
 }
 
 impl Configuration {
-    /// Returns a configuration of `routes` and `services`.
+    /// Returns a configuration without workspaces, stores and limits.
     pub fn new(revision: u64, routes: Vec<Route>, services: BTreeMap<ServiceId, Service>) -> Self {
         let mut by_host: HashMap<SmolStr, Vec<Arc<Route>>> = HashMap::new();
         for route in routes {
@@ -180,7 +180,8 @@
         Self { revision, routes: by_host, services, ..Self::default() }
     }
 
-    /// Sets the workspaces with their keys; requests then need a key unless their route is public.
+    /// Adds workspaces with their keys; from then on requests to routes that are not public need a
+    /// key.
     pub fn set_workspaces(&mut self, workspaces: Vec<(Workspace, Vec<SmolStr>)>) {
         self.has_workspaces = true;
         for (workspace, keys) in workspaces {
@@ -189,7 +190,7 @@
         }
     }
 
-    /// Returns the route with the longest prefix of `path` on `host`.
+    /// Returns the route on `host` with the longest path prefix that matches `path`.
     pub fn route(&self, host: &str, path: &str) -> Option<&Arc<Route>> {
         let name = host.rsplit_once(':').map_or(host, |(name, _port)| name);
         let routes = match self.routes.get(name) {
@@ -213,7 +214,7 @@
         workspace.map_or(Caller::Unknown, |found| Caller::Workspace(Arc::clone(found)))
     }
 
-    /// Whether requests carry keys of workspaces, which servers must not see.
+    /// Whether requests carry workspace keys, which must not be forwarded to servers.
     pub fn has_workspaces(&self) -> bool {
         self.has_workspaces
     }
--- a/src/decision/relay/decode_rate.rs
+++ b/src/decision/relay/decode_rate.rs
@@ -1,4 +1,4 @@
-//! Rate of the output tokens that long runs ask for, of this node and of its partners.
+//! Rate of the output tokens of decode-heavy requests, of this node and its partners.
 
 use crate::types::InstanceId;
 use std::collections::BTreeMap;
@@ -7,10 +7,10 @@
 /// Time over which this node's rate is averaged.
 const WINDOW: Duration = Duration::from_secs(3);
 
-/// Time for which a partner's rate holds.
+/// Time after which a partner's rate expires.
 const PARTNER_LIFETIME: Duration = Duration::from_millis(2_500);
 
-/// Rate of output tokens.
+/// Output tokens per second of decode-heavy requests.
 #[derive(Clone, Debug, Default)]
 pub struct DecodeRate {
     decayed_tokens: f64,
@@ -19,19 +19,19 @@
 }
 
 impl DecodeRate {
-    /// Counts the output tokens of a long run that this node sends.
-    pub fn count(&mut self, tokens: u32, now: Instant) {
+    /// Adds the expected output tokens of a request that this node sends.
+    pub fn add(&mut self, tokens: u32, now: Instant) {
         self.decayed_tokens = self.decayed(now) + f64::from(tokens);
         self.updated_at = Some(now);
     }
 
-    /// Takes in a partner's rate.
+    /// Sets a partner's rate.
     pub fn set_partner_rate(&mut self, partner: InstanceId, tokens_per_s: f64, now: Instant) {
         self.partners.insert(partner, (tokens_per_s, now + PARTNER_LIFETIME));
         self.partners.retain(|_, (_, until)| now < *until);
     }
 
-    /// Returns this node's tokens a second.
+    /// Returns the tokens per second of this node.
     pub fn local_tokens_per_s(&self, now: Instant) -> f64 {
         self.decayed(now) / WINDOW.as_secs_f64()
     }
@@ -41,12 +41,12 @@
         self.partners.remove(partner);
     }
 
-    /// Returns the tokens a second of all nodes.
+    /// Returns the tokens per second of all nodes.
     pub fn tokens_per_s(&self, now: Instant) -> f64 {
         self.tokens_per_s_without(None, now)
     }
 
-    /// Returns the tokens a second of this node and of what all partners but `except` told.
+    /// Returns the tokens per second of this node and all partners except `except`.
     pub fn tokens_per_s_without(&self, except: Option<&InstanceId>, now: Instant) -> f64 {
         let others = self
             .partners
--- a/src/decision/relay/engine_choice.rs
+++ b/src/decision/relay/engine_choice.rs
@@ -1,5 +1,5 @@
-//! The choice of a model engine for a prompt: what each would have to read, fetch and save, and what
-//! speaks against it.
+//! Choice of a model engine for a prompt: what each candidate would have to prefill, fetch and
+//! save, and what that costs.
 
 use super::choose::{Choice, CostedServer, PromptChoice, ServerQuery, build_choice, two_cheapest};
 use super::fleet::Fleet;
@@ -11,67 +11,69 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-/// Prompt tokens that an engine reads in a millisecond between the steps of its runs: 4,096 in a
-/// step of 50 ms, by the sheets of the engines in use.
+/// Prompt tokens that an engine prefills in a millisecond beside its decode steps: 4,096 in a step
+/// of 50 ms, by the data sheets of the supported engines.
 const PREFILL_TOKENS_PER_MS: f64 = 80.0;
 
 /// Milliseconds by which each running request slows the others.
 const RUNNING_REQUEST_COST_MS: f64 = 1.5;
 
-/// Milliseconds that a fetch of a prefix takes beside the transfer.
+/// Fixed milliseconds of a prefix fetch, without the transfer.
 const FETCH_OVERHEAD_MS: f64 = 4.0;
 
-/// Milliseconds in which 1,000 tokens come from another server or the store, queueing included.
+/// Milliseconds to transfer 1,000 tokens from another server or the store, including queueing.
 const FETCH_MS_PER_1K_TOKENS: f64 = 4.0;
 
-/// Cost of reading 1,000 tokens again that another server has read, beside the time: wasted work.
+/// Penalty for recomputing 1,000 tokens that another server has prefilled, in addition to the time
+/// it takes: wasted work.
 const RECOMPUTE_COST_MS_PER_1K_TOKENS: f64 = 100.0;
 
-/// Cost of a server that is not the home of the prefix, by its rank; the last holds for the others.
+/// Cost by rendezvous rank; the last entry is that of all further ranks.
 const RANK_COST_MS: [f64; 4] = [0.0, 20.0, 30.0, 40.0];
 
-/// Part of an engine's memory that requests may fill before its cache suffers.
+/// Fraction of an engine's KV cache that requests may fill before cached prefixes get evicted.
 const MAX_KV_CACHE_FRACTION: f64 = 0.7;
 
-/// Cost of a server whose memory is taken, or all of its many slots: the time until a request ends.
+/// Cost of a server whose memory or many slots are full: the time until a request ends.
 const FULL_SERVER_COST_MS: f64 = 250.0;
 
-/// Time for which a request holds a slot, as cost of those that wait for one.
+/// Milliseconds for which a request occupies a slot, used as the cost of waiting for one.
 const SLOT_OCCUPANCY_MS: f64 = 1_500.0;
 
-/// Time after newer weights are named in which older ones are as good.
+/// Time after new weights are announced during which older ones have no penalty.
 const OUTDATED_WEIGHTS_GRACE: Duration = Duration::from_millis(1_200);
 
-/// Cost of a server with older weights after that time.
+/// Cost of a server with outdated weights after the grace period.
 const OUTDATED_WEIGHTS_COST_MS: f64 = 300.0;
 
-/// Cost of a long run at a server with older weights, which has to end before they change.
+/// Cost of a decode-heavy request at a server with outdated weights: it delays their replacement.
 const DECODE_HEAVY_OUTDATED_WEIGHTS_COST_MS: f64 = 60.0;
 
-/// Milliseconds in which a server of the pool of long runs generates a token of each.
+/// Milliseconds in which a server of the decode pool generates one token of each request.
 const DECODE_POOL_MS_PER_TOKEN: f64 = 8.0;
 
-/// Long runs that a server of their pool takes before the pool grows, and the part of its slots that
-/// they take at most.
+/// Decode-heavy requests per server of the decode pool before the pool grows, as a number and as a
+/// fraction of its slots.
 const MAX_DECODE_HEAVY_PER_SERVER: f64 = 28.0;
 const MAX_DECODE_HEAVY_SLOT_FRACTION: f64 = 0.85;
 
-/// Slots from which a server has many: its memory and its speed bind before they do. With fewer,
-/// requests wait for slots, and a pool of long runs would take so many servers that the others cannot
-/// read all prompts.
+/// Number of slots from which memory and speed limit a server before its slots do. With fewer slots
+/// requests wait for a slot, and a decode pool would take so many servers that the others could not
+/// prefill all prompts.
 const MANY_SLOTS: u32 = 24;
 
-/// Cost of a long run outside its pool: each prompt read there delays all of its tokens.
+/// Cost of a decode-heavy request outside the decode pool: every prefill there delays its tokens.
 const DECODE_OUTSIDE_POOL_COST_MS: f64 = 60.0;
 
-/// Cost of a long prompt at a server of the pool of long runs.
+/// Cost of other requests at a server of the decode pool.
 const PREFILL_IN_POOL_COST_MS: f64 = 80.0;
 
-/// Homes of a prefix that are considered together. Loads are told with a delay, so that nodes which
-/// all look at every server send what comes meanwhile to the one that seems best.
+/// Servers of the rendezvous ranking that are compared at once. Load updates lag, so nodes that
+/// compared all servers would all send their next requests to the same least loaded one.
 const SERVERS_PER_ROUND: usize = 12;
 
-/// Cost from which further homes are considered: that of waiting for the latency objective.
+/// Cost of the cheapest server from which the next round is compared too: a wait as long as the
+/// latency objective.
 const NEXT_ROUND_COST_MS: f64 = 400.0;
 
 impl Fleet {
@@ -93,37 +95,38 @@
         let mut costs: Vec<CostedServer<'_>> = Vec::with_capacity(SERVERS_PER_ROUND);
         let mut plans = Vec::with_capacity(SERVERS_PER_ROUND);
         for (rank, server) in ranked.iter().enumerate() {
-            let is_enough = rank > 0 && rank % SERVERS_PER_ROUND == 0;
-            if is_enough && costs.iter().any(|(cost_ms, _)| *cost_ms < NEXT_ROUND_COST_MS) {
+            let ends_round = rank > 0 && rank % SERVERS_PER_ROUND == 0;
+            if ends_round && costs.iter().any(|(cost_ms, _)| *cost_ms < NEXT_ROUND_COST_MS) {
                 break;
             }
-            let plan = self.plan(server, &ranked, prompt, isolated_workspace, rank, now);
+            let plan = self.plan_prompt(server, &ranked, prompt, isolated_workspace, rank, now);
             let load = server.total_load(now);
-            let expected_ms = engine_expected_ms(server, load, &plan, query.priority, now);
-            let mut cost_ms = expected_ms + self.engine_cost_ms(server, load, prompt, &plan, now);
+            let expected_ms = first_token_ms(server, load, &plan, query.priority, now);
+            let mut cost_ms = expected_ms + self.penalty_ms(server, load, prompt, &plan, now);
             cost_ms += pool_cost_ms(prompt, pool.contains(&server.entry.id));
             costs.push((cost_ms, *server));
             plans.push((plan, expected_ms));
         }
-        let (best, runner_up) = two_cheapest(&costs).expect("there is a candidate");
+        let (best, runner_up) = two_cheapest(&costs).expect("candidates are not empty");
         let position = costs
             .iter()
             .position(|(_, server)| server.entry.id == best.1.entry.id)
-            .expect("the best is one of those considered");
+            .expect("the best server is one of those compared");
         let (plan, expected_ms) = plans.swap_remove(position);
         let load = ServerLoad {
             requests: 1,
             long_runs: u32::from(prompt.is_decode_heavy()),
-            unread_tokens: UnreadTokens::new(query.priority, plan.unread_tokens),
+            unread_tokens: UnreadTokens::new(query.priority, plan.prefill_tokens),
             memory_tokens: u64::from(prompt.unshared_tokens() + prompt.expected_output_tokens()),
         };
         build_choice(best, expected_ms, runner_up, Some(plan.choice), load)
     }
 
-    /// Returns the servers that take long runs: as many as these need, the same on all nodes, those
-    /// with the newest weights first.
+    /// Returns the servers for decode-heavy requests: as many as their token rate needs, the same
+    /// on all nodes, those with the newest weights first.
     fn decode_pool(&self, candidates: &[&Server], prompt: &Prompt, now: Instant) -> Vec<ServerId> {
-        let decode_heavy = self.decode_rate.tokens_per_s(now) * DECODE_POOL_MS_PER_TOKEN / 1_000.0;
+        let concurrent_requests =
+            self.decode_rate.tokens_per_s(now) * DECODE_POOL_MS_PER_TOKEN / 1_000.0;
         let slots: u32 = candidates.iter().map(|server| server.entry.slots.max(1)).sum();
         let slots_per_server = f64::from(slots) / candidates.len().max(1) as f64;
         let max_per_server =
@@ -131,16 +134,18 @@
         if slots_per_server < f64::from(MANY_SLOTS) {
             return Vec::new();
         }
-        let needed = (decode_heavy / max_per_server).ceil() as usize;
-        let size = needed.clamp(1, (candidates.len() / 2).max(1));
-        let held = |server: &Server| server.weights.get(&prompt.model).copied().unwrap_or_default();
+        let required_servers = (concurrent_requests / max_per_server).ceil() as usize;
+        let size = required_servers.clamp(1, (candidates.len() / 2).max(1));
+        let revision =
+            |server: &Server| server.weights.get(&prompt.model).copied().unwrap_or_default();
         let mut ranked: Vec<&&Server> = candidates.iter().collect();
-        ranked.sort_by_key(|server| std::cmp::Reverse((held(server), server.id_hash)));
+        ranked.sort_by_key(|server| std::cmp::Reverse((revision(server), server.id_hash)));
         ranked.into_iter().take(size).map(|server| server.entry.id.clone()).collect()
     }
 
-    /// Returns the key whose homes a prompt goes to: its deepest shared prefix, or before the store
-    /// has a long one, that one, so that one server reads it for all.
+    /// Returns the rendezvous key of a prompt: its deepest shared prefix. While the store lacks a
+    /// long shared prefix, the first such prefix is the key, so that one server prefills it for
+    /// all.
     fn placement_key(
         &self,
         candidates: &[&Server],
@@ -151,22 +156,23 @@
         let newest = candidates.iter().filter_map(|server| server.weights.get(&prompt.model)).max();
         let salt = cache_salt(prompt, newest.copied().unwrap_or_default(), isolated_workspace);
         let keys = prompt.shared_keys(&salt);
-        let is_unread = |(key, tokens): &(&PrefixKey, u32)| {
+        let is_unstored = |(key, tokens): &(&PrefixKey, u32)| {
             *tokens >= MIN_STORED_TOKENS && !self.prefixes.is_stored(**key, now)
         };
-        let unread = keys.iter().zip(prompt.shared_part_tokens()).find(is_unread);
-        let key = match unread.filter(|_| self.kv_store.is_some()) {
+        let first_unstored = keys.iter().zip(prompt.shared_part_tokens()).find(is_unstored);
+        let key = match first_unstored.filter(|_| self.kv_store.is_some()) {
             Some((key, _)) => Some(*key),
             None => prompt.shared_keys(isolated_workspace.unwrap_or_default()).last().copied(),
         };
         key.unwrap_or_else(|| prompt.unshared_key())
     }
 
-    /// Works out what a server would read, fetch and save of a prompt whose homes are `homes`.
-    fn plan(
+    /// Works out what a server would prefill, fetch and save of a prompt. `ranked` are all
+    /// candidates by rendezvous rank.
+    fn plan_prompt(
         &self,
         server: &Server,
-        homes: &[&Server],
+        ranked: &[&Server],
         prompt: &Prompt,
         isolated_workspace: Option<&str>,
         rank: usize,
@@ -176,40 +182,42 @@
         let cache_salt = cache_salt(prompt, weights, isolated_workspace);
         let keys = prompt.shared_keys(&cache_salt);
         let id = &server.entry.id;
-        let is_held = |key: &PrefixKey| self.prefixes.is_cached_on(*key, id, now);
-        // What is held of a prompt is a prefix of it.
-        let held = keys.iter().rposition(is_held).map_or(0, |last| last + 1);
+        let is_cached = |key: &PrefixKey| self.prefixes.is_cached_on(*key, id, now);
+        // Each key covers the parts before it, so a cached key implies the shorter ones.
+        let cached = keys.iter().rposition(is_cached).map_or(0, |last| last + 1);
         let tokens: Vec<u32> = prompt.shared_part_tokens().collect();
-        let missing: u32 = tokens[held..].iter().sum();
+        let missing_tokens: u32 = tokens[cached..].iter().sum();
         let mut plan = PromptPlan::default();
-        let stored = keys.iter().rposition(|key| self.prefixes.is_stored(*key, now));
-        let stored = stored.map_or(0, |last| last + 1);
-        let stored_missing: u32 = tokens[held..stored.max(held)].iter().sum();
+        let stored_prefixes = keys.iter().rposition(|key| self.prefixes.is_stored(*key, now));
+        let stored_prefixes = stored_prefixes.map_or(0, |last| last + 1);
+        let missing_stored_tokens: u32 = tokens[cached..stored_prefixes.max(cached)].iter().sum();
         let source = self.prefix_source(server, &keys, now);
-        if let Some(address) = source.cached_at.filter(|_| missing > 0) {
+        if let Some(address) = source.cached_at.filter(|_| missing_tokens > 0) {
             plan.choice.fetch_from = Some(address);
-            plan.fetched_tokens = missing;
-        } else if let Some(store) = self.kv_store.as_ref().filter(|_| stored_missing > 0) {
-            let fetch_s = store.transfer_s(stored_missing);
+            plan.fetched_tokens = missing_tokens;
+        } else if let Some(store) = self.kv_store.as_ref().filter(|_| missing_stored_tokens > 0) {
+            let fetch_s = store.transfer_s(missing_stored_tokens);
             if store.may_fetch(fetch_s, now) {
                 plan.choice.fetch_from = Some(store.address());
                 plan.choice.fetch_s = fetch_s;
-                plan.fetched_tokens = stored_missing;
+                plan.fetched_tokens = missing_stored_tokens;
             }
         }
-        if plan.choice.fetch_from.is_none() && missing > 0 {
-            // Another home may have it from another node's request; a miss costs a millisecond.
-            let other = homes.iter().find(|home| home.entry.id != *id);
-            let other = other.filter(|home| home.weights.get(&prompt.model) == Some(&weights));
+        if plan.choice.fetch_from.is_none() && missing_tokens > 0 {
+            // The first other ranked server may have prefilled it for another node; a cache miss
+            // costs 1 ms.
+            let other = ranked.iter().find(|other| other.entry.id != *id);
+            let other = other.filter(|other| other.weights.get(&prompt.model) == Some(&weights));
             plan.choice.fetch_from =
-                source.possibly_cached_at.or(other.map(|home| home.entry.address));
+                source.possibly_cached_at.or(other.map(|other| other.entry.address));
         }
         self.plan_save(&mut plan.choice, prompt, &keys, &tokens, now);
-        let read = keys.iter().zip(&tokens).skip(held);
+        let uncached = keys.iter().zip(&tokens).skip(cached);
         let is_known = |key: &PrefixKey| self.prefixes.likely_cached_on(*key, now).is_some();
-        let known: u32 = read.filter(|(key, _)| is_known(key)).map(|(_, tokens)| tokens).sum();
-        plan.recomputed_tokens = known.saturating_sub(plan.fetched_tokens);
-        plan.unread_tokens = missing - plan.fetched_tokens + prompt.unshared_tokens();
+        let known_tokens: u32 =
+            uncached.filter(|(key, _)| is_known(key)).map(|(_, tokens)| tokens).sum();
+        plan.recomputed_tokens = known_tokens.saturating_sub(plan.fetched_tokens);
+        plan.prefill_tokens = missing_tokens - plan.fetched_tokens + prompt.unshared_tokens();
         plan.choice.weights = weights;
         plan.choice.cache_salt = cache_salt;
         plan.choice.keys = keys;
@@ -217,25 +225,25 @@
         plan
     }
 
-    /// Returns the other server that read a prompt's deepest prefix last.
+    /// Returns the address of another server that has or may have the deepest prefix cached.
     fn prefix_source(&self, server: &Server, keys: &[PrefixKey], now: Instant) -> PrefixSource {
         let Some(key) = keys.last() else { return PrefixSource::default() };
-        let holder =
-            self.prefixes.likely_cached_on(*key, now).and_then(|holder| self.servers.get(holder));
-        let holder = holder.filter(|holder| {
-            holder.entry.id != server.entry.id && holder.suspended_until(now).is_none()
+        let other = self.prefixes.likely_cached_on(*key, now).and_then(|id| self.servers.get(id));
+        let other = other.filter(|other| {
+            other.entry.id != server.entry.id && other.suspended_until(now).is_none()
         });
-        let Some(holder) = holder else { return PrefixSource::default() };
-        let address = Some(holder.entry.address);
-        if self.prefixes.is_cached_on(*key, &holder.entry.id, now) {
+        let Some(other) = other else { return PrefixSource::default() };
+        let address = Some(other.entry.address);
+        if self.prefixes.is_cached_on(*key, &other.entry.id, now) {
             PrefixSource { cached_at: address, possibly_cached_at: address }
         } else {
             PrefixSource { cached_at: None, possibly_cached_at: address }
         }
     }
 
-    /// Has a long prefix saved that the store lacks: the first one of a prompt in any case, since
-    /// all servers need it, the others as far as the store's link allows.
+    /// Plans to save a long prefix that the store lacks. The first prefix of a prompt is saved in
+    /// any case, since all servers need it; others only if the node's share of the store's link
+    /// allows it.
     fn plan_save(
         &self,
         choice: &mut PromptChoice,
@@ -246,10 +254,11 @@
     ) {
         let Some(store) = &self.kv_store else { return };
         let is_long = |tokens: u32| tokens >= MIN_STORED_TOKENS;
-        let mut unsaved =
-            keys.iter().zip(tokens).enumerate().filter(|(_, (key, tokens))| {
-                is_long(**tokens) && self.prefixes.needs_save(**key, now)
-            });
+        let mut unsaved = keys
+            .iter()
+            .zip(tokens)
+            .enumerate()
+            .filter(|(_, (key, len))| is_long(**len) && self.prefixes.needs_save(**key, now));
         let Some((level, _)) = unsaved.next() else { return };
         let save_s = store.transfer_s(prompt.prompt_tokens);
         let is_first = level == 0 && keys.len() > 1;
@@ -259,8 +268,8 @@
         }
     }
 
-    /// Returns what speaks against a server beside the time until it answers.
-    fn engine_cost_ms(
+    /// Returns the penalties of a server beside the time to the first token.
+    fn penalty_ms(
         &self,
         server: &Server,
         load: ServerLoad,
@@ -279,10 +288,11 @@
     fn outdated_weights_cost_ms(
         &self,
         prompt: &Prompt,
-        held: WeightsRevision,
+        revision: WeightsRevision,
         now: Instant,
     ) -> f64 {
-        let since = self.targets.get(&prompt.model).and_then(|target| target.outdated_since(held));
+        let since =
+            self.targets.get(&prompt.model).and_then(|target| target.outdated_since(revision));
         match since {
             None => 0.0,
             Some(since) if now >= since + OUTDATED_WEIGHTS_GRACE => OUTDATED_WEIGHTS_COST_MS,
@@ -298,19 +308,22 @@
         } else {
             0.0
         };
-        let capacity = self.kv_capacity_tokens.get(&server.entry.service).copied();
-        if let Some(capacity) = capacity.filter(|capacity| *capacity > 0) {
-            let needed = load.memory_tokens + u64::from(prompt.prompt_tokens);
-            if needed as f64 > capacity as f64 * MAX_KV_CACHE_FRACTION {
-                cost_ms += FULL_SERVER_COST_MS * needed as f64 / capacity as f64;
+        let capacity_tokens = self.kv_capacity_tokens.get(&server.entry.service).copied();
+        if let Some(capacity_tokens) =
+            capacity_tokens.filter(|capacity_tokens| *capacity_tokens > 0)
+        {
+            let required_tokens = load.memory_tokens + u64::from(prompt.prompt_tokens);
+            if required_tokens as f64 > capacity_tokens as f64 * MAX_KV_CACHE_FRACTION {
+                cost_ms += FULL_SERVER_COST_MS * required_tokens as f64 / capacity_tokens as f64;
             }
         }
         cost_ms
     }
 }
 
-/// Returns the milliseconds until a server has read the prompt, behind what is as urgent.
-fn engine_expected_ms(
+/// Returns the milliseconds until a server has prefilled the prompt, after all requests of the same
+/// or a higher priority.
+fn first_token_ms(
     server: &Server,
     load: ServerLoad,
     plan: &PromptPlan,
@@ -318,16 +331,16 @@
     now: Instant,
 ) -> f64 {
     let ahead = f64::from(load.unread_tokens.ahead_of(priority)) + server.unreported_tokens(now);
-    let mut expected_ms = (ahead + f64::from(plan.unread_tokens)) / PREFILL_TOKENS_PER_MS;
+    let mut expected_ms = (ahead + f64::from(plan.prefill_tokens)) / PREFILL_TOKENS_PER_MS;
     expected_ms += slot_wait_ms(server, load);
     if plan.fetched_tokens > 0 {
-        let fetched = f64::from(plan.fetched_tokens) / 1_000.0;
-        expected_ms += FETCH_OVERHEAD_MS + fetched * FETCH_MS_PER_1K_TOKENS;
+        let fetched_k_tokens = f64::from(plan.fetched_tokens) / 1_000.0;
+        expected_ms += FETCH_OVERHEAD_MS + fetched_k_tokens * FETCH_MS_PER_1K_TOKENS;
     }
     expected_ms
 }
 
-/// Returns the milliseconds for which a further request waits for a slot.
+/// Returns the milliseconds for which another request waits for a slot.
 fn slot_wait_ms(server: &Server, load: ServerLoad) -> f64 {
     let slots = server.entry.slots.max(1);
     if slots >= MANY_SLOTS {
@@ -337,25 +350,25 @@
     f64::from(waiting) / f64::from(slots) * SLOT_OCCUPANCY_MS
 }
 
-/// Other server from which a prefix can be fetched.
+/// Another server from which a prefix can be fetched.
 #[derive(Default)]
 struct PrefixSource {
-    /// Server that holds it.
+    /// Address of a server that has the prefix cached.
     cached_at: Option<SocketAddr>,
-    /// Server that may have evicted it.
+    /// Address of a server that may have evicted it.
     possibly_cached_at: Option<SocketAddr>,
 }
 
 #[derive(Default)]
 struct PromptPlan {
-    unread_tokens: u32,
+    prefill_tokens: u32,
     recomputed_tokens: u32,
     fetched_tokens: u32,
     choice: PromptChoice,
 }
 
-/// Returns the name under which prefixes are cached: no other weights, and no workspace beyond a
-/// wall, have the same.
+/// Returns the salt of the cache keys, which differs between models, weights and workspaces with
+/// cache isolation.
 fn cache_salt(
     prompt: &Prompt,
     weights: WeightsRevision,
--- a/src/decision/relay/event_splitter.rs
+++ b/src/decision/relay/event_splitter.rs
@@ -1,10 +1,10 @@
-//! Splits the bytes of an event stream into whole events, so that another server can go on after
-//! the last one that the caller has.
+//! Splits an event stream into complete events, so that another server can resume after the last
+//! event that the caller received.
 
 use bytes::{Bytes, BytesMut};
 use smol_str::SmolStr;
 
-/// Bytes of one event at most; a longer one is no event.
+/// Maximum bytes of one event.
 const MAX_EVENT_BYTES: usize = 1024 * 1024;
 
 /// The server sent an event that exceeds the limit.
@@ -19,37 +19,37 @@
 }
 
 impl EventSplitter {
-    /// Adds received bytes and returns the whole events that are complete with them.
+    /// Adds received bytes and returns the events that they complete.
     ///
     /// # Errors
     ///
-    /// An event longer than the limit.
+    /// An event is longer than the limit.
     pub fn push(&mut self, data: &[u8]) -> Result<Bytes, EventTooLong> {
-        let searched = self.partial.len().saturating_sub(3);
+        let search_start = self.partial.len().saturating_sub(3);
         self.partial.extend_from_slice(data);
-        let Some(end) = last_event_end(&self.partial[searched..]) else {
-            let is_bounded = self.partial.len() <= MAX_EVENT_BYTES;
-            return if is_bounded { Ok(Bytes::new()) } else { Err(EventTooLong) };
+        let Some(end) = last_event_end(&self.partial[search_start..]) else {
+            let is_within_limit = self.partial.len() <= MAX_EVENT_BYTES;
+            return if is_within_limit { Ok(Bytes::new()) } else { Err(EventTooLong) };
         };
-        let whole = self.partial.split_to(searched + end).freeze();
-        if let Some(id) = last_id(&whole) {
+        let complete = self.partial.split_to(search_start + end).freeze();
+        if let Some(id) = last_id(&complete) {
             self.last_event_id = Some(id);
         }
-        Ok(whole)
+        Ok(complete)
     }
 
-    /// Returns what follows the last whole event.
+    /// Takes the bytes received after the last complete event.
     pub fn take_partial(&mut self) -> Bytes {
         self.partial.split().freeze()
     }
 
-    /// Returns the id of the last whole event.
+    /// Returns the id of the last complete event.
     pub fn last_event_id(&self) -> Option<&SmolStr> {
         self.last_event_id.as_ref()
     }
 }
 
-/// Returns the offset behind the last blank line.
+/// Returns the offset after the last blank line.
 fn last_event_end(bytes: &[u8]) -> Option<usize> {
     (1..=bytes.len()).rev().find(|&end| {
         let head = &bytes[..end];
--- a/src/decision/relay/fleet.rs
+++ b/src/decision/relay/fleet.rs
@@ -1,4 +1,4 @@
-//! All backend servers as a node knows them.
+//! Backend servers known to a node.
 
 use super::choose::MAX_OUTDATED_WEIGHTS_PERIOD;
 use super::decode_rate::DecodeRate;
@@ -10,28 +10,32 @@
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
-/// Revisions of a model's weights that are remembered; servers are never that far behind.
+/// Maximum revisions of a model that are remembered; servers are never that far behind.
 const MAX_REVISIONS: usize = 16;
 
-/// Time for which servers with older weights are used if it is unknown when newer ones were named.
+/// Time for which outdated servers are used if the age of the newer weights is unknown.
 const MAX_UNKNOWN_AGE_PERIOD: Duration = Duration::from_millis(3_000);
 
-/// Weights of a model that the servers are to have.
+/// Weights of a model that its servers should load.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct WeightsTarget {
-    /// Revisions with the times at which this node learned of them, oldest first.
+    /// Announced revisions with the times at which this node learned of them, oldest first.
     revisions: Vec<(WeightsRevision, Instant)>,
 }
 
 impl WeightsTarget {
-    /// Returns the newest revision, 0 if none was named.
+    /// Returns the newest revision, 0 if none was announced.
     pub fn revision(&self) -> WeightsRevision {
         self.revisions.last().map_or(0, |(revision, _)| *revision)
     }
 
-    /// Returns since when a server with `held` has been outdated, none if it is not.
-    pub fn outdated_since(&self, held: WeightsRevision) -> Option<Instant> {
-        self.revisions.iter().find(|(revision, _)| *revision > held).map(|(_, known_at)| *known_at)
+    /// Returns since when a server that has loaded revision `loaded` is outdated, `None` if it is
+    /// not.
+    pub fn outdated_since(&self, loaded: WeightsRevision) -> Option<Instant> {
+        self.revisions
+            .iter()
+            .find(|(revision, _)| *revision > loaded)
+            .map(|(_, learned_at)| *learned_at)
     }
 
     fn add(&mut self, revision: WeightsRevision, now: Instant) -> bool {
@@ -53,16 +57,16 @@
     pub(super) servers: BTreeMap<ServerId, Server>,
     pub(super) targets: BTreeMap<ModelId, WeightsTarget>,
     pub(super) kv_capacity_tokens: BTreeMap<ServiceId, u64>,
-    /// Prefixes that were read lately.
+    /// Recently prefilled prefixes and where they are cached or stored.
     pub prefixes: PrefixIndex,
-    /// Rate of the output tokens of long runs.
+    /// Output token rate of decode-heavy requests.
     pub decode_rate: DecodeRate,
-    /// Link of the store of kept KV cache, while the store answers.
+    /// Link to the external store of KV cache, `None` while the store does not answer.
     pub kv_store: Option<StoreLink>,
 }
 
 impl Fleet {
-    /// Returns the empty fleet of a node in `availability_zone`.
+    /// Returns an empty fleet for a node in `availability_zone`.
     pub fn new(availability_zone: AvailabilityZone) -> Self {
         Self {
             availability_zone,
@@ -75,7 +79,7 @@
         }
     }
 
-    /// Takes in a server's report.
+    /// Adds a server or updates it with its newest entry.
     pub fn set_entry(&mut self, entry: ServerEntry) {
         match self.servers.get_mut(&entry.id) {
             Some(server) => server.update(entry),
@@ -85,7 +89,7 @@
         }
     }
 
-    /// Takes in that a server's entry vanished.
+    /// Marks the entry of a server as missing; a draining server is removed at once.
     pub fn remove_entry(&mut self, id: &ServerId, now: Instant) {
         let Some(server) = self.servers.get_mut(id) else { return };
         if !server.mark_entry_missing(now) {
@@ -93,7 +97,7 @@
         }
     }
 
-    /// Drops servers whose entries vanished and did not come back.
+    /// Removes servers whose entries stayed missing for too long and returns them.
     pub fn remove_expired(&mut self, now: Instant) -> Vec<ServerId> {
         let expired: Vec<ServerId> = self
             .servers
@@ -107,18 +111,21 @@
         expired
     }
 
-    /// Sets the memory of a service's engines.
+    /// Sets the KV cache capacity of a service's engines.
     pub fn set_kv_capacity(&mut self, service: ServiceId, tokens: u64) {
         self.kv_capacity_tokens.insert(service, tokens);
     }
 
-    /// Takes in that `revision` of a model's weights was named just now; returns whether it is news.
+    /// Records that `revision` of a model has just been announced; returns whether it is newer than
+    /// the known ones.
     pub fn set_target(&mut self, model: ModelId, revision: WeightsRevision, now: Instant) -> bool {
         self.targets.entry(model).or_default().add(revision, now)
     }
 
-    /// Takes in a `revision` that was named some unknown time ago; servers with older weights are
-    /// used for a short time only, since they may have been outdated for long.
+    /// Records a `revision` that was announced an unknown time ago; returns whether it is newer
+    /// than the known ones.
+    ///
+    /// Outdated servers are used for a short time only, since they may have been outdated for long.
     pub fn set_target_of_unknown_age(
         &mut self,
         model: ModelId,
@@ -126,11 +133,11 @@
         now: Instant,
     ) -> bool {
         let allowance = MAX_OUTDATED_WEIGHTS_PERIOD.saturating_sub(MAX_UNKNOWN_AGE_PERIOD);
-        let named_at = now.checked_sub(allowance).unwrap_or(now);
-        self.targets.entry(model).or_default().add(revision, named_at)
+        let announced_at = now.checked_sub(allowance).unwrap_or(now);
+        self.targets.entry(model).or_default().add(revision, announced_at)
     }
 
-    /// Returns the weights that the servers are to have.
+    /// Returns the weights that the servers should load.
     pub fn targets(&self) -> &BTreeMap<ModelId, WeightsTarget> {
         &self.targets
     }
@@ -140,7 +147,7 @@
         self.servers.get(id)
     }
 
-    /// Returns the server with `id`, to change it.
+    /// Returns the server with `id` for changes.
     pub fn server_mut(&mut self, id: &ServerId) -> Option<&mut Server> {
         self.servers.get_mut(id)
     }
@@ -150,15 +157,16 @@
         self.servers.values()
     }
 
-    /// Takes in the weights that a server holds, as learned from an answer or a partner.
+    /// Sets the weights that a server has loaded, as learned from an answer or a partner.
     pub fn set_weights(&mut self, id: &ServerId, model: &ModelId, revision: WeightsRevision) {
         if let Some(server) = self.servers.get_mut(id) {
             server.weights.insert(model.clone(), revision);
         }
     }
 
-    /// Takes in that a server does not hold `believed`. If that is outdated it probably holds the
-    /// newest; otherwise its next report tells.
+    /// Corrects the weights of a server that rejected a request for `believed`. If that revision is
+    /// outdated, the server probably has the newest one; otherwise the weights of its last entry
+    /// are assumed.
     pub fn record_weights_mismatch(
         &mut self,
         id: &ServerId,
@@ -175,45 +183,46 @@
         server.weights.insert(model.clone(), probable);
     }
 
-    /// Takes in what a partner tells of the servers; at those not named it has nothing. Returns the
-    /// servers that fell silent or were heard again by that.
+    /// Applies a partner's updates; servers not listed have no requests from that partner. Returns
+    /// the servers that became silent or recovered.
     pub fn apply_updates(
         &mut self,
         partner: &InstanceId,
-        news: &[ServerUpdate],
+        updates: &[ServerUpdate],
         now: Instant,
     ) -> Vec<(ServerId, SilenceChange)> {
-        let told: BTreeMap<&ServerId, &ServerUpdate> =
-            news.iter().map(|news| (&news.server, news)).collect();
+        let by_server: BTreeMap<&ServerId, &ServerUpdate> =
+            updates.iter().map(|update| (&update.server, update)).collect();
         let empty = ServerUpdate::default();
         let mut changes = Vec::new();
         for server in self.servers.values_mut() {
-            let news = told.get(&server.entry.id).copied().unwrap_or(&empty);
-            let change = server.apply_update(partner.clone(), news, now);
+            let update = by_server.get(&server.entry.id).copied().unwrap_or(&empty);
+            let change = server.apply_update(partner.clone(), update, now);
             changes.extend(change.map(|change| (server.entry.id.clone(), change)));
         }
         changes
     }
 
-    /// Drops what a partner told, which other partners tell from now on.
+    /// Drops a partner's updates, since other partners cover its requests from now on.
     pub fn remove_partner(&mut self, partner: &InstanceId) {
         self.servers.values_mut().for_each(|server| server.remove_partner(partner));
         self.decode_rate.remove_partner(partner);
     }
 
-    /// Returns what this node and all partners but `except` know of the servers in use.
+    /// Returns the updates of this node and all partners except `except`, for servers with
+    /// requests.
     pub fn updates_without(&self, except: &InstanceId, now: Instant) -> Vec<ServerUpdate> {
-        let news = self.servers.values().map(|server| server.update_without(Some(except), now));
-        news.filter(|news| news.load.requests > 0).collect()
+        let updates = self.servers.values().map(|server| server.update_without(Some(except), now));
+        updates.filter(|update| update.load.requests > 0).collect()
     }
 
-    /// Returns what this node alone knows of the servers that it uses.
+    /// Returns the updates of this node alone, for servers with requests.
     pub fn local_updates(&self, now: Instant) -> Vec<ServerUpdate> {
         let used = self.servers.values().filter(|server| server.local_load.requests > 0);
         used.map(|server| server.local_update(now)).collect()
     }
 
-    /// Takes in that a request with `load` is sent to a server.
+    /// Records that a request with `load` is sent to a server.
     pub fn begin_request(&mut self, id: &ServerId, attempt: u64, load: ServerLoad, now: Instant) {
         if let Some(server) = self.servers.get_mut(id) {
             server.add_local_load(load, now);
@@ -221,7 +230,7 @@
         }
     }
 
-    /// Takes in that a server has read the prompt of a request.
+    /// Records the first answer to a request: the server has prefilled its prompt.
     pub fn finish_prefill(&mut self, id: &ServerId, attempt: u64, unread: UnreadTokens) {
         if let Some(server) = self.servers.get_mut(id) {
             server.local_load.unread_tokens.subtract(unread);
@@ -229,7 +238,7 @@
         }
     }
 
-    /// Takes in that a request with `load` has ended.
+    /// Records that a request with `load` has ended.
     pub fn end_request(&mut self, id: &ServerId, attempt: u64, load: ServerLoad) {
         if let Some(server) = self.servers.get_mut(id) {
             server.local_load.subtract(load);
--- a/src/decision/relay/health.rs
+++ b/src/decision/relay/health.rs
@@ -1,55 +1,57 @@
-//! What a node believes of a server's health: from its own exchanges, and from when other nodes last
-//! heard the server and what they still await of it.
+//! Health of a server, estimated from this node's own requests and from the last contact and the
+//! unanswered requests that other nodes report.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 use strum::Display;
 
-/// Time without a sign of a server that owes answers after which it gets no new requests; several
+/// Time without contact after which a server with unanswered requests gets no new ones; several
 /// times the usual time to an answer.
 const MAX_SILENCE: Duration = Duration::from_millis(500);
 
-/// The same if other nodes heard the server meanwhile: its answers may not reach this node.
+/// Like `MAX_SILENCE`, if other nodes had contact meanwhile: answers may be unable to reach this
+/// node alone.
 const MAX_LOCAL_SILENCE: Duration = Duration::from_millis(1_500);
 
-/// First time for which a server that cannot be reached gets no new requests.
+/// Length of the first suspension of an unreachable server.
 const FIRST_SUSPENSION: Duration = Duration::from_millis(300);
 
-/// Doublings of the suspension at most.
+/// Maximum doublings of the suspension.
 const MAX_DOUBLINGS: u32 = 3;
 
 /// Weight of the newest outcome in the moving averages.
 const SMOOTHING_FACTOR: f64 = 0.2;
 
-/// Time in which the averages fall to a third without news, so that a bad server is tried again.
+/// Time in which the averages decay to a third without new outcomes, so that a bad server is tried
+/// again.
 const DECAY_PERIOD: Duration = Duration::from_secs(4);
 
-/// Milliseconds that a request loses to a server that fails all requests, used as cost.
+/// Cost of a server that fails all requests: the milliseconds that a request loses there.
 const FAILURE_COST_MS: f64 = 600.0;
 
-/// Slowness in milliseconds that is within the usual spread of answers.
+/// Milliseconds of slowness that are within the usual spread of answer times.
 const NORMAL_SLOWNESS_MS: f64 = 60.0;
 
-/// Signs of a server, at one node or at several.
+/// Last contact and oldest unanswered request of a server, at one or several nodes.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct ServerContact {
-    /// When it was heard last.
+    /// When the server last sent anything.
     pub last_contact_at: Option<Instant>,
-    /// Since when the oldest request is unanswered, none if all are answered.
+    /// Since when the oldest unanswered request has waited, `None` if all are answered.
     pub unanswered_since: Option<Instant>,
 }
 
 impl ServerContact {
-    /// Adds the signs at other nodes.
+    /// Merges the contact of other nodes.
     pub fn merge(&mut self, other: Self) {
         self.last_contact_at = self.last_contact_at.max(other.last_contact_at);
         self.unanswered_since = match (self.unanswered_since, other.unanswered_since) {
-            (Some(own), Some(other)) => Some(own.min(other)),
-            (own, other) => own.or(other),
+            (Some(local), Some(other)) => Some(local.min(other)),
+            (local, other) => local.or(other),
         };
     }
 
-    /// Returns for how long the server has owed an answer and given no sign.
+    /// Returns for how long the server has left requests unanswered without any contact.
     fn silence(&self, now: Instant) -> Duration {
         let Some(unanswered_since) = self.unanswered_since else { return Duration::ZERO };
         let since = self
@@ -59,13 +61,13 @@
     }
 }
 
-/// Change of the belief whether a server is silent.
+/// Change of a server between silent and responsive.
 #[derive(Clone, Copy, Debug, Display, Eq, PartialEq)]
 #[strum(serialize_all = "snake_case")]
 pub enum SilenceChange {
-    /// It owes answers and has fallen silent.
+    /// Has unanswered requests and no recent contact.
     Silent,
-    /// It was heard again.
+    /// Has been in contact again.
     Heard,
 }
 
@@ -79,27 +81,27 @@
     updated_at: Option<Instant>,
     last_contact_at: Option<Instant>,
     unanswered: BTreeMap<u64, Instant>,
-    /// When the server was found silent, none once it is heard again.
+    /// When the server was last found silent, `None` after a later contact.
     silent_at: Option<Instant>,
 }
 
 impl Health {
-    /// Takes in that request `attempt` was sent.
+    /// Records that attempt `attempt` was sent.
     pub fn record_sent(&mut self, attempt: u64, now: Instant) {
         self.unanswered.insert(attempt, now);
     }
 
-    /// Takes in a sign of life.
+    /// Records that the server sent something.
     pub fn record_contact(&mut self, now: Instant) {
         self.last_contact_at = Some(now);
     }
 
-    /// Takes in that nothing more is awaited for `attempt`.
+    /// Removes `attempt` from the unanswered ones.
     pub fn clear_unanswered(&mut self, attempt: u64) {
         self.unanswered.remove(&attempt);
     }
 
-    /// Takes in the outcome of an attempt and by how much it was slower than expected.
+    /// Records the outcome of an attempt and by how many milliseconds it exceeded the expectation.
     pub fn record_outcome(&mut self, succeeded: bool, slower_by_ms: f64, now: Instant) {
         self.decay(now);
         if succeeded {
@@ -111,38 +113,38 @@
         self.failure_rate += SMOOTHING_FACTOR * (failure - self.failure_rate);
     }
 
-    /// Takes in that the server could not be reached; returns until when it gets no new requests.
+    /// Records a failed connection; returns until when the server is suspended.
     pub fn record_unreachable(&mut self, now: Instant) -> Instant {
-        let period = FIRST_SUSPENSION * 2_u32.pow(self.suspensions.min(MAX_DOUBLINGS));
+        let suspension = FIRST_SUSPENSION * 2_u32.pow(self.suspensions.min(MAX_DOUBLINGS));
         if self.suspended_until.is_none_or(|until| until <= now) {
             self.suspensions += 1;
-            self.suspended_until = Some(now + period);
+            self.suspended_until = Some(now + suspension);
         }
         self.suspended_until.unwrap_or(now)
     }
 
-    /// Returns until when the server gets no new requests, none if it may get them.
+    /// Returns until when the server gets no new requests, `None` if it may get them.
     pub fn suspended_until(&self, now: Instant) -> Option<Instant> {
         self.suspended_until.filter(|until| now < *until)
     }
 
-    /// Returns the signs of the server at this node.
+    /// Returns the contact of this node with the server.
     pub fn contact(&self) -> ServerContact {
         let unanswered_since = self.unanswered.values().min().copied();
         ServerContact { last_contact_at: self.last_contact_at, unanswered_since }
     }
 
-    /// Whether the server owes answers and has given no sign for longer than usual; `others` are its
-    /// signs at other nodes.
+    /// Whether the server has unanswered requests and no contact for longer than usual; `others` is
+    /// its contact with other nodes.
     pub fn is_silent(&self, others: ServerContact, now: Instant) -> bool {
-        let own = self.contact();
-        let mut all = own;
-        all.merge(others);
-        all.silence(now) > MAX_SILENCE || own.silence(now) > MAX_LOCAL_SILENCE
+        let local = self.contact();
+        let mut combined = local;
+        combined.merge(others);
+        combined.silence(now) > MAX_SILENCE || local.silence(now) > MAX_LOCAL_SILENCE
     }
 
-    /// Takes in whether the server is silent; a silent one counts as failing until it is heard.
-    /// Returns what changed.
+    /// Updates whether the server is silent and returns the change; a silent server has the failure
+    /// rate 1 until the next contact.
     pub fn update_silence(&mut self, others: ServerContact, now: Instant) -> Option<SilenceChange> {
         let last_contact_at = self.last_contact_at.max(others.last_contact_at);
         if self.is_silent(others, now) {
--- a/src/decision/relay/load_exchange.rs
+++ b/src/decision/relay/load_exchange.rs
@@ -1,8 +1,9 @@
-//! Exchange of loads: what all nodes have at the servers, summed along the tree of nodes.
+//! Exchange of server loads between nodes.
 //!
-//! While every node has a link to every other, each tells its own load. Beyond that number a node
-//! tells each neighbour in the tree the sum of its own load and of what the other neighbours told,
-//! so that each load reaches every node once and messages don't grow with the nodes.
+//! While every node has a link to every other one, each node sends its own load. Beyond that number
+//! of nodes they form a tree, and a node sends each neighbour the sum of its own load and of the
+//! loads received from the other neighbours. Each load thus reaches every node once, and messages
+//! do not grow with the number of nodes.
 
 use super::fleet::Fleet;
 use super::health::SilenceChange;
@@ -16,79 +17,80 @@
 use std::time::{Duration, Instant};
 use strum::Display;
 
-/// Period in which a node tells its load.
+/// Period in which a node sends its load.
 const LOAD_PERIOD: Duration = Duration::from_millis(100);
 
-/// Period while a rollout waits for requests to end, and of nodes that pass on the loads of others.
+/// Period during a rollout, which waits for requests to end, and of nodes that forward loads.
 const SHORT_LOAD_PERIOD: Duration = Duration::from_millis(50);
 
-/// Time after which an unchanged load is told again; less than it holds at the partners.
+/// Time after which an unchanged load is sent again; less than its lifetime at the partners.
 const LOAD_REPEAT_PERIOD: Duration = Duration::from_millis(1_000);
 
-/// Prefixes that may wait for a neighbour to be told; it learns of others by using them.
+/// Maximum stored and maximum cached prefixes that wait to be sent to a neighbour. Prefixes beyond
+/// that are dropped: the neighbour learns of them by using them.
 const MAX_PENDING_PREFIXES: usize = 2_048;
 
-/// Requests at backend servers, of the sender and of the nodes for which it speaks.
+/// Load at the backend servers of the sender and of the nodes whose loads it forwards.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct RelayLoad {
-    /// Nodes whose requests are counted.
+    /// Number of nodes whose requests are counted.
     pub nodes: u32,
-    /// Load and signs of each server in use.
+    /// Load and contact of each server with requests.
     pub servers: Vec<ServerUpdate>,
-    /// Prefixes saved to the store of kept KV cache that the receiver was not told of before.
+    /// Prefixes saved to the external store of KV cache, new since the last message.
     pub stored: Vec<PrefixKey>,
-    /// Prefixes with the servers that read them, which the receiver was not told of before.
+    /// Prefixes with the servers that have them cached, new since the last message.
     pub held: Vec<CachedPrefix>,
-    /// Output tokens a second of the long runs that these nodes started.
+    /// Output tokens per second of the decode-heavy requests that these nodes sent.
     pub long_tokens_per_s: u32,
 }
 
-/// Why a load is not taken in.
+/// Why a received load is ignored.
 #[derive(Clone, Copy, Debug, Display, Eq, PartialEq)]
 #[strum(serialize_all = "snake_case")]
 pub enum IgnoredLoad {
-    /// Its sender is no neighbour.
+    /// The sender is no neighbour.
     NoNeighbour,
-    /// It speaks for more nodes than there are: nodes with different member sets may pass loads on
-    /// in a circle for a while.
+    /// It covers more nodes than there are: nodes with different member lists may forward loads in
+    /// a circle for a while.
     TooManyNodes,
 }
 
-/// What a neighbour told and was told.
+/// State of the exchange with a neighbour.
 #[derive(Clone, Debug, Default)]
 struct Neighbour {
-    /// Nodes for which it speaks, 0 before its first message.
+    /// Nodes that its load covers, 0 before its first message.
     nodes: u32,
-    /// Nodes and loads that it was told last.
+    /// Nodes and loads of the last message to the neighbour.
     last_sent: Option<(u32, Vec<(ServerId, ServerLoad)>)>,
     repeat_at: Option<Instant>,
-    /// Stored prefixes that it has not been told of.
+    /// Stored prefixes to send to the neighbour.
     stored: Vec<PrefixKey>,
-    /// Prefixes that servers read of which it has not been told.
-    held: Vec<CachedPrefix>,
+    /// Cached prefixes to send to the neighbour.
+    cached: Vec<CachedPrefix>,
 }
 
-/// Loads that go to and come from the neighbours.
+/// Exchange of loads with all neighbours.
 #[derive(Clone, Debug)]
 pub struct LoadExchange {
-    /// Whether a neighbour is told what others told.
+    /// Whether loads are forwarded along a tree of nodes.
     is_tree: bool,
     neighbours: BTreeMap<InstanceId, Neighbour>,
-    next_at: Instant,
+    next_round_at: Instant,
 }
 
 impl LoadExchange {
     /// Returns the exchange of a node without neighbours.
     pub fn new(now: Instant) -> Self {
-        Self { is_tree: false, neighbours: BTreeMap::new(), next_at: now }
+        Self { is_tree: false, neighbours: BTreeMap::new(), next_round_at: now }
     }
 
-    /// Whether loads come over several nodes, and thus later.
+    /// Whether loads are forwarded along a tree, so that they arrive later.
     pub fn is_tree(&self) -> bool {
         self.is_tree
     }
 
-    /// Whether this node passes the loads of others on.
+    /// Whether this node forwards the loads of other nodes.
     pub fn forwards_loads(&self) -> bool {
         self.is_tree && self.neighbours.len() > 1
     }
@@ -98,8 +100,8 @@
         self.neighbours.keys()
     }
 
-    /// Takes in this node's place; `passes_on` says whether the nodes form a tree. Returns whether
-    /// the neighbours are others than before.
+    /// Sets this node's neighbours; `is_tree` says whether loads are forwarded along a tree.
+    /// Returns whether the neighbours have changed.
     pub fn set_place(&mut self, place: &TreePlace, is_tree: bool, fleet: &mut Fleet) -> bool {
         self.is_tree = is_tree;
         let current: BTreeSet<&InstanceId> = place.neighbours().collect();
@@ -114,24 +116,24 @@
         is_changed
     }
 
-    /// Whether loads are to be told now.
+    /// Whether a round of load messages is due; if so, schedules the next one.
     pub fn start_round_if_due(&mut self, is_rollout: bool, now: Instant) -> bool {
-        if now < self.next_at {
+        if now < self.next_round_at {
             return false;
         }
         let is_short = is_rollout || self.forwards_loads();
-        self.next_at = now + if is_short { SHORT_LOAD_PERIOD } else { LOAD_PERIOD };
+        self.next_round_at = now + if is_short { SHORT_LOAD_PERIOD } else { LOAD_PERIOD };
         true
     }
 
-    /// Takes in the prefixes that this node had saved or read.
+    /// Queues the prefixes that this node had saved or cached since the last call.
     pub fn queue_new_prefixes(&mut self, fleet: &mut Fleet) {
-        let (stored, held) =
+        let (stored, cached) =
             (fleet.prefixes.take_newly_stored(), fleet.prefixes.take_newly_cached());
-        self.queue_prefixes(None, &stored, &held);
+        self.queue_prefixes(None, &stored, &cached);
     }
 
-    /// Returns what a neighbour is to be told, none if it knows that.
+    /// Returns the next message for a neighbour, `None` if it already has this load.
     pub fn next_message(
         &mut self,
         peer: &InstanceId,
@@ -144,19 +146,19 @@
         let loads: Vec<(ServerId, ServerLoad)> =
             load.servers.iter().map(|update| (update.server.clone(), update.load)).collect();
         let is_unchanged = neighbour.last_sent.as_ref() == Some(&(load.nodes, loads.clone()));
-        let knows_prefixes = neighbour.stored.is_empty() && neighbour.held.is_empty();
-        if is_unchanged && knows_prefixes && !is_repeat_due {
+        let has_all_prefixes = neighbour.stored.is_empty() && neighbour.cached.is_empty();
+        if is_unchanged && has_all_prefixes && !is_repeat_due {
             return None;
         }
         neighbour.repeat_at = Some(now + LOAD_REPEAT_PERIOD);
         neighbour.last_sent = Some((load.nodes, loads));
         load.stored = std::mem::take(&mut neighbour.stored);
-        load.held = std::mem::take(&mut neighbour.held);
+        load.held = std::mem::take(&mut neighbour.cached);
         Some(load)
     }
 
-    /// Takes in what a neighbour told; `live_nodes` are all nodes, this one included. Returns the
-    /// servers that fell silent or were heard again by that.
+    /// Applies a neighbour's load; `live_nodes` is the number of all nodes, including this one.
+    /// Returns the servers that became silent or recovered.
     ///
     /// # Errors
     ///
@@ -206,16 +208,16 @@
         &mut self,
         source: Option<&InstanceId>,
         stored: &[PrefixKey],
-        held: &[CachedPrefix],
+        cached: &[CachedPrefix],
     ) {
         for (peer, neighbour) in &mut self.neighbours {
             if Some(peer) == source {
                 continue;
             }
-            let room = MAX_PENDING_PREFIXES.saturating_sub(neighbour.stored.len());
-            neighbour.stored.extend(stored.iter().take(room));
-            let room = MAX_PENDING_PREFIXES.saturating_sub(neighbour.held.len());
-            neighbour.held.extend(held.iter().take(room).cloned());
+            let capacity = MAX_PENDING_PREFIXES.saturating_sub(neighbour.stored.len());
+            neighbour.stored.extend(stored.iter().take(capacity));
+            let capacity = MAX_PENDING_PREFIXES.saturating_sub(neighbour.cached.len());
+            neighbour.cached.extend(cached.iter().take(capacity).cloned());
         }
     }
 }
--- a/src/decision/relay/mod.rs
+++ b/src/decision/relay/mod.rs
@@ -1,7 +1,6 @@
-//! Decisions of the relay: which route a request takes, which server gets it, when it is refused or
-//! sent again, and how servers are brought to new weights.
+//! Decisions of the relay: routing, server choice, admission, resends and weight rollouts.
 //!
-//! Everything here is deterministic: no sockets, no clock and no random source of its own.
+//! Everything here is deterministic: no sockets, no clock and no random source.
 
 pub mod admission;
 pub mod choose;
--- a/src/decision/relay/prefix_index.rs
+++ b/src/decision/relay/prefix_index.rs
@@ -1,46 +1,45 @@
-//! Prompt prefixes that were read lately, and where: on which server, and whether the store of kept
-//! KV cache has them.
+//! Index of recently prefilled prompt prefixes: which server has them cached, and whether the
+//! external store of KV cache has them.
 
 use super::prompt::PrefixKey;
 use crate::types::ServerId;
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
 
-/// Time for which a prefix in the store counts as kept; a store of this size replaces its content
-/// within minutes.
+/// Time for which a saved prefix counts as stored; a full store replaces its content within
+/// minutes.
 const STORED_LIFETIME: Duration = Duration::from_secs(45);
 
-/// Time for which a save that was asked for is not asked for again.
+/// Time after a save request in which the same prefix is not saved again.
 const SAVE_RETRY_DELAY: Duration = Duration::from_millis(1_500);
 
-/// Time for which a server counts as holding a prefix after its last use; engines evict within
-/// seconds.
-const LIKELY_CACHED_PERIOD: Duration = Duration::from_secs(8);
+/// Time after its last use in which a prefix is likely still cached; engines evict within seconds.
+const LIKELY_CACHED_FOR: Duration = Duration::from_secs(8);
 
-/// Time after its last use in which a server surely holds a prefix.
-const SURELY_CACHED_PERIOD: Duration = Duration::from_secs(2);
+/// Time after its last use in which a prefix is certainly still cached.
+const SURELY_CACHED_FOR: Duration = Duration::from_secs(2);
 
-/// Prefixes remembered at most.
+/// Maximum prefixes in the index.
 const MAX_PREFIXES: usize = 16_384;
 
 #[derive(Clone, Debug, Default)]
 struct PrefixRecord {
     stored_until: Option<Instant>,
     saving_until: Option<Instant>,
-    held: Option<Held>,
+    last_use: Option<LastUse>,
 }
 
 /// Last use of a prefix.
 #[derive(Clone, Debug)]
-struct Held {
+struct LastUse {
     server: ServerId,
     used_at: Instant,
 }
 
-/// Prefix with the server that reads it.
+/// Prefix key with the server that has the prefix cached.
 pub type CachedPrefix = (PrefixKey, ServerId);
 
-/// Prefixes that were read lately.
+/// Index of recently prefilled prefixes.
 #[derive(Clone, Debug, Default)]
 pub struct PrefixIndex {
     prefixes: HashMap<PrefixKey, PrefixRecord>,
@@ -49,7 +48,7 @@
 }
 
 impl PrefixIndex {
-    /// Takes in that a server was asked to save the prefixes `keys` to the store.
+    /// Records that a server was asked to save the prefixes `keys` and answered the request.
     pub fn add_stored(&mut self, keys: &[PrefixKey], now: Instant) {
         for key in keys {
             if !self.is_stored(*key, now) {
@@ -59,7 +58,7 @@
         }
     }
 
-    /// Takes in that a server is asked to save the prefixes `keys`.
+    /// Marks the prefixes `keys` as being saved by a server.
     pub fn mark_saving(&mut self, keys: &[PrefixKey], now: Instant) {
         for key in keys {
             self.entry(*key, now).saving_until = Some(now + SAVE_RETRY_DELAY);
@@ -72,7 +71,7 @@
         !self.is_stored(key, now) && saving.is_none_or(|until| until <= now)
     }
 
-    /// Takes in prefixes that partners had saved.
+    /// Records prefixes whose saving a partner reported.
     pub fn add_stored_by_partner(&mut self, keys: &[PrefixKey], now: Instant) {
         keys.iter().for_each(|key| self.set_stored(*key, now));
     }
@@ -88,8 +87,8 @@
         until.is_some_and(|until| now < until)
     }
 
-    /// Takes in that `server` reads the prefixes `keys`; `is_told` says whether other nodes are to
-    /// know of the deepest.
+    /// Records that `server` prefills the prefixes `keys`; `is_announced` says whether partners are
+    /// told of the deepest one.
     pub fn add_cached(
         &mut self,
         keys: &[PrefixKey],
@@ -103,29 +102,30 @@
         }
     }
 
-    /// Takes in prefixes that servers read for other nodes.
-    pub fn add_cached_by_partner(&mut self, held: &[CachedPrefix], now: Instant) {
-        held.iter().for_each(|(key, server)| self.set_cached(*key, server, now));
+    /// Records cached prefixes that a partner reported.
+    pub fn add_cached_by_partner(&mut self, prefixes: &[CachedPrefix], now: Instant) {
+        prefixes.iter().for_each(|(key, server)| self.set_cached(*key, server, now));
     }
 
-    /// Returns the prefixes that servers read for this node since the last call.
+    /// Returns the prefixes to announce that servers prefilled for this node since the last call.
     pub fn take_newly_cached(&mut self) -> Vec<CachedPrefix> {
         std::mem::take(&mut self.newly_cached)
     }
 
-    /// Returns the server that read a prefix last, if it may still hold it.
+    /// Returns the server that last used a prefix, if the prefix is likely still cached there.
     pub fn likely_cached_on(&self, key: PrefixKey, now: Instant) -> Option<&ServerId> {
-        let held = self.prefixes.get(&key)?.held.as_ref()?;
-        (now < held.used_at + LIKELY_CACHED_PERIOD).then_some(&held.server)
+        let last_use = self.prefixes.get(&key)?.last_use.as_ref()?;
+        (now < last_use.used_at + LIKELY_CACHED_FOR).then_some(&last_use.server)
     }
 
-    /// Whether `server` read a prefix last, and so lately that it holds it.
+    /// Whether a prefix is certainly still cached on `server`.
     pub fn is_cached_on(&self, key: PrefixKey, server: &ServerId, now: Instant) -> bool {
-        let held = self.prefixes.get(&key).and_then(|prefix| prefix.held.as_ref());
-        held.is_some_and(|held| held.server == *server && now < held.used_at + SURELY_CACHED_PERIOD)
+        let last_use = self.prefixes.get(&key).and_then(|prefix| prefix.last_use.as_ref());
+        last_use
+            .is_some_and(|used| used.server == *server && now < used.used_at + SURELY_CACHED_FOR)
     }
 
-    /// Forgets what the store kept, after it was lost.
+    /// Forgets all stored prefixes, after the store lost its content.
     pub fn clear_stored(&mut self) {
         self.prefixes.values_mut().for_each(|prefix| prefix.stored_until = None);
         self.newly_stored.clear();
@@ -136,7 +136,7 @@
     }
 
     fn set_cached(&mut self, key: PrefixKey, server: &ServerId, now: Instant) {
-        self.entry(key, now).held = Some(Held { server: server.clone(), used_at: now });
+        self.entry(key, now).last_use = Some(LastUse { server: server.clone(), used_at: now });
     }
 
     fn entry(&mut self, key: PrefixKey, now: Instant) -> &mut PrefixRecord {
@@ -144,9 +144,9 @@
             self.prefixes.retain(|_, prefix| {
                 prefix.stored_until.is_some_and(|until| now < until)
                     || prefix
-                        .held
+                        .last_use
                         .as_ref()
-                        .is_some_and(|held| now < held.used_at + LIKELY_CACHED_PERIOD)
+                        .is_some_and(|last_use| now < last_use.used_at + LIKELY_CACHED_FOR)
             });
         }
         if self.prefixes.len() >= MAX_PREFIXES {
--- a/src/decision/relay/received_notices.rs
+++ b/src/decision/relay/received_notices.rs
@@ -1,27 +1,27 @@
-//! Notices of rollouts that a node has heard, each of which may come over several partners.
+//! Rollout notices that a node has received; the same notice may arrive through several partners.
 
 use super::register_lease::FencingNumber;
 use std::collections::VecDeque;
 
-/// Notices that are remembered; a coordinator sends some twenty in the second that one takes to all
-/// nodes at most.
+/// Maximum notices remembered. A notice reaches all nodes within a second, in which a coordinator
+/// sends about twenty.
 const MAX_NOTICES: usize = 64;
 
-/// Notice of a rollout: its lease and its number under the lease.
+/// Identity of a notice: fencing number of the lease, and the notice's number under that lease.
 type NoticeId = (FencingNumber, u64);
 
-/// How a notice relates to those heard before.
+/// Order of a notice relative to those received before.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum NoticeOrder {
-    /// It is the newest so far.
+    /// Newer than all others.
     Newest,
-    /// A newer one came before.
+    /// Older than another notice, but new to this node.
     Late,
-    /// It was heard before, or so many others were since that it may have been.
+    /// Received before, or too old to tell.
     Duplicate,
 }
 
-/// Notices heard so far.
+/// Notices received so far.
 #[derive(Clone, Debug, Default)]
 pub struct ReceivedNotices {
     received: VecDeque<NoticeId>,
@@ -30,10 +30,10 @@
 }
 
 impl ReceivedNotices {
-    /// Takes in the notice `number` under the lease with `fencing_number`.
+    /// Records the notice `number` sent under the lease with `fencing_number`.
     pub fn record(&mut self, fencing_number: FencingNumber, number: u64) -> NoticeOrder {
         let id = (fencing_number, number);
-        // A notice that counted as new again would go round among the nodes for ever.
+        // Treating an evicted notice as new would make nodes forward it to each other forever.
         if Some(id) <= self.newest_evicted || self.received.contains(&id) {
             return NoticeOrder::Duplicate;
         }
--- a/src/relay/attempt.rs
+++ b/src/relay/attempt.rs
@@ -83,7 +83,7 @@
         if let Some(prompt) =
             request.facts.prompt.as_ref().filter(|prompt| prompt.is_decode_heavy())
         {
-            fleet.decode_rate.count(prompt.expected_output_tokens(), now);
+            fleet.decode_rate.add(prompt.expected_output_tokens(), now);
         }
         if let Some(prompt) = &choice.prompt {
             let is_announced = request.facts.prompt.as_ref().is_some_and(Prompt::is_worth_storing);
