--- a/src/decision/relay/engine_choice.rs
+++ b/src/decision/relay/engine_choice.rs
@@ -258,7 +258,7 @@
             .iter()
             .zip(tokens)
             .enumerate()
-            .filter(|(_, (key, len))| is_long(**len) && self.prefixes.needs_save(**key, now));
+            .filter(|(_, (key, size))| is_long(**size) && self.prefixes.needs_save(**key, now));
         let Some((level, _)) = unsaved.next() else { return };
         let save_s = store.transfer_s(prompt.prompt_tokens);
         let is_first = level == 0 && keys.len() > 1;
--- a/src/decision/relay/prompt.rs
+++ b/src/decision/relay/prompt.rs
@@ -1,25 +1,25 @@
-//! Prompt of a request: its parts as the caller declares them, and the keys of its shared levels.
+//! Prompt of a request: its parts as the caller declares them, and the keys of its shared prefixes.
 
 use crate::types::ModelId;
 use smol_str::SmolStr;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// Output tokens that a long run may generate at least.
+/// Minimum output limit of a decode-heavy request.
 const MIN_DECODE_HEAVY_OUTPUT_TOKENS: u32 = 100;
 
-/// Prompt tokens for each output token below which generating takes most of the time: an engine
-/// reads some hundred tokens in the time of one step.
+/// Maximum prompt tokens per output token of a decode-heavy request: an engine prefills some
+/// hundred tokens in the time of one decode step.
 const MAX_DECODE_HEAVY_PROMPT_RATIO: u32 = 10;
 
-/// Part of the tokens that it may generate that a run generates if its caller gives no estimate.
+/// Divisor of the output limit that gives the expected output if the caller declares no estimate.
 const DEFAULT_OUTPUT_DIVISOR: u32 = 3;
 
 /// Part of a prompt.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct PromptPart {
-    /// Id; equal ids stand for equal text.
+    /// Id; parts with the same id have the same text.
     pub id: SmolStr,
-    /// Tokens.
+    /// Number of tokens.
     pub tokens: u32,
 }
 
@@ -30,22 +30,22 @@
     pub model: ModelId,
     /// Tokens of the whole prompt.
     pub prompt_tokens: u32,
-    /// Tokens that may be generated.
+    /// Maximum output tokens.
     pub max_output_tokens: u32,
-    /// Tokens that the caller expects to be generated.
+    /// Output tokens that the caller expects.
     pub output_estimate_tokens: Option<u32>,
-    /// Parts in order; the last belongs to the request alone.
+    /// Parts in order; all but the last may be shared with other requests.
     pub parts: Vec<PromptPart>,
 }
 
-/// Shared tokens from which a prefix is worth keeping in the store; shorter ones are read faster.
+/// Minimum tokens of a shared prefix that is stored; shorter ones are faster to recompute.
 pub(super) const MIN_STORED_TOKENS: u32 = 1_000;
 
-/// Hash of the parts of a prompt up to one of them.
+/// Hash of the parts of a prompt up to and including one of them.
 pub type PrefixKey = u64;
 
 impl Prompt {
-    /// Returns the keys of the shared levels, each for all parts up to it, under `salt`.
+    /// Returns the key of each shared prefix, shortest first, with `salt` mixed in.
     pub fn shared_keys(&self, salt: &str) -> Vec<PrefixKey> {
         let mut key = xxh3_64_with_seed(salt.as_bytes(), 0);
         let shared = self.shared_parts().iter();
@@ -57,17 +57,17 @@
             .collect()
     }
 
-    /// Returns the tokens of the shared parts.
+    /// Returns the tokens of all shared parts.
     pub fn shared_tokens(&self) -> u32 {
         self.shared_parts().iter().map(|part| part.tokens).sum()
     }
 
-    /// Whether the shared parts are so long that transfers beat reading them again.
+    /// Whether the shared parts are so long that fetching them is faster than recomputing them.
     pub fn is_worth_storing(&self) -> bool {
         self.shared_tokens() >= MIN_STORED_TOKENS
     }
 
-    /// Returns the tokens that no other request has.
+    /// Returns the tokens that belong to this request alone.
     pub fn unshared_tokens(&self) -> u32 {
         self.prompt_tokens.saturating_sub(self.shared_tokens())
     }
@@ -77,18 +77,18 @@
         self.shared_parts().iter().map(|part| part.tokens)
     }
 
-    /// Returns the key of the part that belongs to the request alone.
+    /// Returns the key of the part that belongs to this request alone.
     pub fn unshared_key(&self) -> PrefixKey {
         self.parts.last().map_or(0, |part| xxh3_64_with_seed(part.id.as_bytes(), 0))
     }
 
-    /// Returns the tokens that will probably be generated.
+    /// Returns the number of tokens that will probably be generated.
     pub fn expected_output_tokens(&self) -> u32 {
-        let usual = self.max_output_tokens / DEFAULT_OUTPUT_DIVISOR;
-        self.output_estimate_tokens.unwrap_or(usual).min(self.max_output_tokens)
+        let default_tokens = self.max_output_tokens / DEFAULT_OUTPUT_DIVISOR;
+        self.output_estimate_tokens.unwrap_or(default_tokens).min(self.max_output_tokens)
     }
 
-    /// Whether generating takes the most of the request's time, rather than reading the prompt.
+    /// Whether the request takes more time to decode than to prefill.
     pub fn is_decode_heavy(&self) -> bool {
         self.max_output_tokens >= MIN_DECODE_HEAVY_OUTPUT_TOKENS
             && self.prompt_tokens
@@ -96,6 +96,6 @@
     }
 
     fn shared_parts(&self) -> &[PromptPart] {
-        self.parts.split_last().map_or(&[], |(_own, shared)| shared)
+        self.parts.split_last().map_or(&[], |(_unshared, shared)| shared)
     }
 }
--- a/src/decision/relay/read_schedule.rs
+++ b/src/decision/relay/read_schedule.rs
@@ -1,9 +1,10 @@
-//! When a node reads the topics of the record store.
+//! Schedule by which a node reads the topics of the record store.
 //!
-//! A few nodes of each topic follow it with reads that wait, and tell the others. Every node knows
-//! how long ago the store was last known to hold nothing newer, by its own reads or by what partners
-//! tell; a node for which that is too long ago reads by itself. The calls thus don't grow with the
-//! nodes, and a node without partners still learns of each record in time.
+//! A few nodes per topic, its followers, read it with long polls and share the records with the
+//! others. Every node knows when its view of a topic was last confirmed as complete, by its own
+//! reads or by partners; a node whose confirmation is too old reads the topic itself. The number of
+//! calls thus does not grow with the number of nodes, and a node without partners still learns of
+//! each record in time.
 
 use super::RecordTopic;
 use crate::types::InstanceId;
@@ -11,88 +12,88 @@
 use std::time::{Duration, Instant};
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// Nodes that follow a topic: one is left if the store turns away or loses two of them.
+/// Followers per topic: one remains if the store rejects or loses the reads of two.
 const FOLLOWERS: usize = 3;
 
-/// Time for which a follower's read waits; others rely on the store's answers being that recent.
+/// Duration of a follower's long poll; other nodes rely on confirmations being that recent.
 const FOLLOWER_READ_WAIT: Duration = Duration::from_millis(700);
 
-/// Time between two reads of a follower, so that one answer brings the records of a burst.
+/// Time between two reads of a follower, so that one answer carries all records of a burst.
 const FOLLOWER_READ_GAP: Duration = Duration::from_millis(150);
 
-/// Age of what is known at which a node that does not follow reads: records are to be in force
-/// within three seconds.
+/// Age of the confirmation at which other nodes read the topic: records must take effect within
+/// three seconds.
 const STALE_AFTER: Duration = Duration::from_millis(1_900);
 
-/// Time between the reads of nodes that find out at once that nobody follows: the first one's
-/// answer reaches the others meanwhile.
+/// Time between the reads of nodes whose confirmations expire together: the answer to the first
+/// read reaches the others meanwhile.
 const STALE_READ_STAGGER: Duration = Duration::from_millis(60);
 
-/// Steps that a node waits at most.
+/// Maximum steps by which a node delays its read.
 const MAX_STAGGER_STEPS: usize = 8;
 
-/// Time for which a node whose read failed does not count itself among the followers.
+/// Time after a failed read during which a node does not act as a follower.
 const FAILED_READ_BACKOFF: Duration = Duration::from_millis(2_000);
 
 /// What a node does next about a topic.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum NextRead {
-    /// Read now, and have the store wait for records until then.
+    /// Read now with a long poll.
     Read {
-        /// Until when the store waits.
+        /// End of the long poll.
         wait_until: Instant,
     },
-    /// Nothing before then.
+    /// Read nothing before this time.
     Wait(Instant),
 }
 
 #[derive(Clone, Copy, Debug, Default)]
 struct TopicSchedule {
-    /// Nodes that come before this one among the followers.
+    /// Number of nodes that rank before this one among the followers.
     rank: usize,
-    /// When the store was known to hold nothing newer.
+    /// Last time at which this node's view of the topic was complete.
     confirmed_at: Option<Instant>,
     answered_at: Option<Instant>,
     failed_at: Option<Instant>,
 }
 
-/// Reads of all topics.
+/// Read schedule of all topics.
 #[derive(Clone, Debug, Default)]
 pub struct ReadSchedule {
     topics: BTreeMap<RecordTopic, TopicSchedule>,
 }
 
 impl ReadSchedule {
-    /// Takes in which nodes live, this one included.
+    /// Sets the live nodes, including this one, and ranks the followers of each topic.
     pub fn set_nodes(&mut self, me: &InstanceId, live: &[InstanceId], topics: &[RecordTopic]) {
         for topic in topics {
             let seed = *topic as u64;
             let position = |node: &InstanceId| xxh3_64_with_seed(node.as_bytes(), seed);
-            let own = position(me);
-            let rank = live.iter().filter(|node| position(node) < own).count();
+            let own_position = position(me);
+            let rank = live.iter().filter(|node| position(node) < own_position).count();
             self.topics.entry(*topic).or_default().rank = rank;
         }
     }
 
-    /// Takes in that a topic was known at `at` to hold nothing that this node does not know.
+    /// Records that this node's view of a topic was complete at `at`.
     pub fn confirm(&mut self, topic: RecordTopic, at: Instant) {
         let confirmed_at = &mut self.topics.entry(topic).or_default().confirmed_at;
         *confirmed_at = (*confirmed_at).max(Some(at));
     }
 
-    /// Takes in that the store answered a read.
+    /// Records that the store answered a read.
     pub fn record_answer(&mut self, topic: RecordTopic, now: Instant) {
         let schedule = self.topics.entry(topic).or_default();
         schedule.answered_at = Some(now);
         schedule.failed_at = None;
     }
 
-    /// Takes in that a read failed.
+    /// Records that a read failed.
     pub fn record_failure(&mut self, topic: RecordTopic, now: Instant) {
         self.topics.entry(topic).or_default().failed_at = Some(now);
     }
 
-    /// Returns how long ago the topic was known to hold nothing newer, none if it never was.
+    /// Returns the time since the view of a topic was complete, `None` if it never was.
     pub fn age(&self, topic: RecordTopic, now: Instant) -> Option<Duration> {
         let confirmed_at = self.topics.get(&topic)?.confirmed_at?;
         Some(now.saturating_duration_since(confirmed_at))
@@ -102,18 +103,18 @@
     pub fn next_read(&self, topic: RecordTopic, now: Instant) -> NextRead {
         let schedule = self.topics.get(&topic).copied().unwrap_or_default();
         let has_failed = schedule.failed_at.is_some_and(|at| now < at + FAILED_READ_BACKOFF);
-        let (due_at, wait) = if schedule.rank < FOLLOWERS && !has_failed {
+        let (due_at, read_wait) = if schedule.rank < FOLLOWERS && !has_failed {
             (schedule.answered_at.map(|at| at + FOLLOWER_READ_GAP), FOLLOWER_READ_WAIT)
         } else {
-            let steps = schedule.rank.saturating_sub(FOLLOWERS).min(MAX_STAGGER_STEPS) as u32;
+            let delay_steps = schedule.rank.saturating_sub(FOLLOWERS).min(MAX_STAGGER_STEPS) as u32;
             (
-                schedule.confirmed_at.map(|at| at + STALE_AFTER + STALE_READ_STAGGER * steps),
+                schedule.confirmed_at.map(|at| at + STALE_AFTER + STALE_READ_STAGGER * delay_steps),
                 Duration::ZERO,
             )
         };
         match due_at {
             Some(due_at) if now < due_at => NextRead::Wait(due_at),
-            _ => NextRead::Read { wait_until: now + wait },
+            _ => NextRead::Read { wait_until: now + read_wait },
         }
     }
 }
--- a/src/decision/relay/register_lease.rs
+++ b/src/decision/relay/register_lease.rs
@@ -1,8 +1,9 @@
-//! Lease kept in a register of the record store that is replaced conditionally: the one who replaces
-//! the newest record holds the lease, and the record's number is the fencing number.
+//! Lease in a register of the record store that supports conditional replacement. The node that
+//! replaces the newest record holds the lease, and the number of its record is the fencing number.
 //!
-//! A holder counts its deadline from before it replaced the record. Everybody else counts from when
-//! they first knew of the record, plus a drift margin, so that a successor starts later.
+//! The holder counts the lease period from before it replaced the record. All other nodes count it
+//! from when they first knew of the record and add a margin for clock drift, so that a successor
+//! starts only after the holder has stopped.
 
 use crate::decision::leases::reader_deadline;
 use crate::types::InstanceId;
@@ -15,7 +16,7 @@
 /// Record of the register.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct RegisterRecord {
-    /// Number, 0 before the first record.
+    /// Fencing number, 0 before the first record.
     pub number: FencingNumber,
     /// Instance that holds the lease.
     pub holder: InstanceId,
@@ -33,7 +34,7 @@
     deadline: Instant,
 }
 
-/// Lease as one node sees and holds it.
+/// One node's view of the lease.
 #[derive(Clone, Debug)]
 pub struct RegisterLease {
     instance: InstanceId,
@@ -43,12 +44,12 @@
 }
 
 impl RegisterLease {
-    /// Returns the lease of a node that knows nothing yet.
+    /// Returns the lease of a node that has not read the register yet.
     pub fn new(instance: InstanceId, lease_ms: u64) -> Self {
         Self { instance, lease_ms, known: None, held: None }
     }
 
-    /// Takes in the newest record, read from the register or told by a partner.
+    /// Applies a record read from the register or received from a partner, if it is the newest.
     pub fn observe(&mut self, record: RegisterRecord, now: Instant) {
         let known_number = self.known.as_ref().map(|known| known.record.number);
         if known_number.is_some_and(|known| record.number <= known) {
@@ -57,24 +58,24 @@
         if self.held.is_some_and(|held| record.number > held.number) {
             self.held = None;
         }
-        let is_free = record.number == 0;
-        let free_at = if is_free { now } else { reader_deadline(now, self.lease_ms) };
+        let is_unclaimed = record.number == 0;
+        let free_at = if is_unclaimed { now } else { reader_deadline(now, self.lease_ms) };
         self.known = Some(KnownRecord { record, free_at });
     }
 
-    /// Returns the newest record known.
+    /// Returns the newest known record.
     pub fn known(&self) -> Option<&RegisterRecord> {
         self.known.as_ref().map(|known| &known.record)
     }
 
-    /// Returns the number of the record to replace, if this node may take or renew the lease now.
+    /// Returns the number of the record to replace if this node may acquire or renew the lease now.
     pub fn replaceable_number(&self, now: Instant) -> Option<FencingNumber> {
         let known = self.known.as_ref()?;
-        let is_own = known.record.holder == self.instance;
-        (is_own || now >= known.free_at).then_some(known.record.number)
+        let is_holder = known.record.holder == self.instance;
+        (is_holder || now >= known.free_at).then_some(known.record.number)
     }
 
-    /// Takes in that this node replaced the register's record at `sent_at`.
+    /// Records that this node replaced the register's record with a request sent at `sent_at`.
     pub fn acquire(&mut self, number: FencingNumber, sent_at: Instant) {
         let deadline = sent_at + Duration::from_millis(self.lease_ms);
         self.held = Some(HeldLease { number, deadline });
@@ -83,17 +84,17 @@
         self.known = Some(KnownRecord { record, free_at });
     }
 
-    /// Drops the lease, after a fence was hit or the process was suspended.
+    /// Drops the held lease, after an order was fenced off or the process was suspended.
     pub fn drop_lease(&mut self) {
         self.held = None;
     }
 
-    /// Returns the fencing number if the lease is held at `now`.
+    /// Returns the fencing number if this node holds the lease at `now`.
     pub fn fencing_number(&self, now: Instant) -> Option<FencingNumber> {
         self.held.filter(|held| now < held.deadline).map(|held| held.number)
     }
 
-    /// Whether a held lease has less than half of its time left.
+    /// Whether less than half of the held lease's time is left.
     pub fn is_renewal_due(&self, now: Instant) -> bool {
         let half = Duration::from_millis(self.lease_ms / 2);
         self.held.is_some_and(|held| now + half >= held.deadline)
--- a/src/decision/relay/replica.rs
+++ b/src/decision/relay/replica.rs
@@ -1,6 +1,6 @@
-//! Replica of the keyed records that the operator and the servers write, fed by the record store
-//! and by partners. Of two records of a key, the one with the higher offset holds, whichever way it
-//! came.
+//! Replica of the keyed records that operators and servers write, updated from the record store and
+//! from partners. Of two records with the same key the one with the higher offset is valid,
+//! whatever the order of arrival.
 
 use crate::types::LogOffset;
 use bytes::Bytes;
@@ -28,9 +28,9 @@
 #[serde(rename_all = "snake_case")]
 #[strum(serialize_all = "snake_case")]
 pub enum RecordTopic {
-    /// Configuration and weights, written by the operator.
+    /// Configuration and weights, written by operators.
     Operator,
-    /// Backend servers, written by themselves.
+    /// Backend servers, written by the servers themselves.
     Servers,
 }
 
@@ -43,7 +43,7 @@
     pub key: SmolStr,
     /// Offset within the topic.
     pub offset: LogOffset,
-    /// Value, none if the key was deleted.
+    /// Value, `None` if the key was deleted.
     pub value: Option<Bytes>,
 }
 
@@ -59,18 +59,18 @@
 #[derive(Clone, Debug, Default)]
 struct TopicReplica {
     records: BTreeMap<SmolStr, KeyedRecord>,
-    /// Offset below which every key's newest record is known, none before the first listing.
+    /// Offset below which the newest record of every key is known, `None` before the first listing.
     known_below: Option<LogOffset>,
 }
 
-/// Part of a topic, as one node sends it to another.
+/// Records of a topic that one node sends to another.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct TopicDelta {
     /// Topic.
     pub topic: RecordTopic,
-    /// Offset from which on the part holds every key's newest record, none for all of them.
+    /// Offset from which the delta is complete, `None` if it holds all records.
     pub from: Option<LogOffset>,
-    /// Offset below which the sender knows every key's newest record.
+    /// Offset below which the sender knows the newest record of every key.
     pub known_below: LogOffset,
     /// Records.
     pub records: Vec<KeyedRecord>,
@@ -83,8 +83,8 @@
 }
 
 impl Replica {
-    /// Takes in `record`; returns whether it is newer than what was known. Below the offset up to
-    /// which all is known there is no news: a record there that is unknown was deleted since.
+    /// Applies `record` and returns whether it is newer than the known one of its key. Below
+    /// `known_below` nothing is new: an unknown record there has been deleted since.
     fn apply(&mut self, record: &KeyedRecord) -> bool {
         let topic = self.topics.entry(record.topic).or_default();
         if topic.known_below > Some(record.offset) {
@@ -98,7 +98,7 @@
         true
     }
 
-    /// Takes in the records that follow a known offset; returns those that are news.
+    /// Applies records that follow a known offset and returns the new ones.
     pub fn apply_records(
         &mut self,
         topic: RecordTopic,
@@ -110,18 +110,19 @@
         records
     }
 
-    /// Takes in a listing of `topic`; returns the records that are news, deletions among them.
+    /// Applies a listing of `topic` and returns the new records, including deletions.
     ///
-    /// A key that the listing lacks was deleted before `end`, unless its record is later than that.
+    /// A key that the listing lacks was deleted before `end`, unless its known record is later than
+    /// that.
     pub fn apply_listing(&mut self, topic: RecordTopic, listing: TopicListing) -> Vec<KeyedRecord> {
         let mut updates: Vec<KeyedRecord> = Vec::new();
         let listed: Vec<&SmolStr> = listing.records.iter().map(|record| &record.key).collect();
-        let known = self.topics.entry(topic).or_default();
+        let replica = self.topics.entry(topic).or_default();
         let last_listed = listing.end.saturating_sub(1);
-        let is_missing = |record: &&KeyedRecord| {
+        let is_deleted = |record: &&KeyedRecord| {
             record.value.is_some() && record.offset < last_listed && !listed.contains(&&record.key)
         };
-        for record in known.records.values().filter(is_missing) {
+        for record in replica.records.values().filter(is_deleted) {
             let key = record.key.clone();
             updates.push(KeyedRecord { topic, key, offset: last_listed, value: None });
         }
@@ -132,7 +133,7 @@
         updates
     }
 
-    /// Takes in what a partner sent; returns the records that are news.
+    /// Applies a partner's delta and returns the new records.
     pub fn apply_delta(&mut self, delta: TopicDelta) -> Vec<KeyedRecord> {
         let is_complete = delta.from.is_none_or(|from| self.known_below(delta.topic) >= Some(from));
         let mut records = delta.records;
@@ -143,13 +144,13 @@
         records
     }
 
-    /// Returns the offset below which every key's newest record is known, none before the first
-    /// listing.
+    /// Returns the offset below which the newest record of every key is known, `None` before the
+    /// first listing.
     pub fn known_below(&self, topic: RecordTopic) -> Option<LogOffset> {
         self.topics.get(&topic).and_then(|topic| topic.known_below)
     }
 
-    /// Returns what a partner lacks that knows the records below `from`.
+    /// Returns the records that a partner lacks if it knows all records below `from`.
     pub fn delta(&self, topic: RecordTopic, from: Option<LogOffset>) -> Option<TopicDelta> {
         let known_below = self.known_below(topic)?;
         let known = self.topics.get(&topic)?;
--- a/src/decision/relay/resend.rs
+++ b/src/decision/relay/resend.rs
@@ -1,23 +1,24 @@
-//! Budget of requests that are sent once more, kept by all nodes together without a message: each
-//! takes its part of the site's allowance.
+//! Resend budget of a node: its share of the site's allowance. Nodes divide the allowance without
+//! exchanging messages.
 
 use crate::types::ServiceId;
 use serde::{Deserialize, Serialize};
 use std::collections::{HashMap, VecDeque};
 use std::time::{Duration, Instant};
 
-/// Part of the allowance that is used; the rest covers nodes that see different numbers of nodes.
+/// Fraction of the allowance that is used; the rest covers nodes that count different numbers of
+/// nodes.
 const USED_FRACTION: f64 = 0.75;
 
-/// Site's allowance of requests that are sent once more.
+/// Resend allowance of the site.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct ResendSettings {
-    /// Resends that each first request allows.
+    /// Resends allowed per first attempt.
     pub ratio: f64,
-    /// Resends allowed in each window beyond that, for all nodes together.
+    /// Resends allowed in each window in addition, for all nodes together.
     pub slack: f64,
-    /// Milliseconds of the window.
+    /// Length of the window in milliseconds.
     pub window_ms: u64,
 }
 
@@ -33,7 +34,7 @@
     resends: VecDeque<Instant>,
 }
 
-/// Budget of one node.
+/// Resend budget of one node.
 #[derive(Clone, Debug)]
 pub struct ResendBudget {
     settings: ResendSettings,
@@ -52,13 +53,13 @@
         self.nodes = nodes.max(1);
     }
 
-    /// Counts a request that is sent for the first time.
+    /// Counts the first attempt of a request.
     pub fn count_first_attempt(&mut self, service: &ServiceId, now: Instant) {
         let window = self.window(service, now);
         window.first_sends.push_back(now);
     }
 
-    /// Takes one resend and returns whether there was one.
+    /// Takes one resend from the budget; returns whether it was allowed.
     pub fn try_take(&mut self, service: &ServiceId, now: Instant) -> bool {
         let ResendSettings { ratio, slack, .. } = self.settings;
         let slack = slack / f64::from(self.nodes);
@@ -77,9 +78,9 @@
             self.windows.insert(service.clone(), ServiceWindow::default());
         }
         let window = self.windows.get_mut(service).expect("inserted above");
-        for times in [&mut window.first_sends, &mut window.resends] {
-            while times.front().is_some_and(|at| *at + length <= now) {
-                times.pop_front();
+        for sent_times in [&mut window.first_sends, &mut window.resends] {
+            while sent_times.front().is_some_and(|at| *at + length <= now) {
+                sent_times.pop_front();
             }
         }
         window
--- a/src/decision/relay/rollout.rs
+++ b/src/decision/relay/rollout.rs
@@ -1,8 +1,9 @@
-//! Rollout of new weights: brings the servers of a model to the newest revision, some at a time.
+//! Rollout of new weights: updates the servers of a model to the newest revision in batches.
 //!
-//! A server is first closed to new requests on all nodes, then ordered to change once its runs have
-//! ended, and reopened when its report shows the new weights. At most a part of the servers is closed
-//! at once; the others carry the traffic, the changed ones first.
+//! A server is closed to new requests on all nodes, ordered to load the weights once its requests
+//! have ended, and reopened when its report shows the new weights. At most a fraction of the
+//! servers is closed at once. The others serve the traffic, preferably those that have been
+//! updated.
 
 pub use super::rollout_messages::{
     RolloutCommand, RolloutServer, RolloutSettings, RunPolicy, WeightsOrderOutcome, WeightsReport,
@@ -11,57 +12,58 @@
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
-/// Change of a server's weights under way.
+/// Load of new weights that a server was ordered to do.
 #[derive(Clone, Copy, Debug)]
 struct WeightsChange {
-    /// Orders that the server had accepted before.
+    /// Orders that the server had accepted before this one.
     accepted_orders: u64,
-    /// When it should have loaded; none if its report alone tells.
+    /// When the load should be finished, `None` if only the server's report shows that.
     loaded_at: Option<Instant>,
-    /// From when a report that does not show the change is believed.
+    /// Time from which reports are recent enough to show the load.
     settled_at: Instant,
-    /// Whether it was opened since it should have loaded.
+    /// Whether the server was reopened because the load should be finished.
     is_open: bool,
 }
 
 #[derive(Clone, Copy, Debug)]
 enum Step {
-    /// Closed; its requests end, and those that can go on elsewhere are taken off it at last.
-    Draining { since: Instant, evicts: bool },
-    /// Asked for its report before the order.
+    /// Closed until its requests have ended; `evicts_streams` says whether resumable streams must
+    /// leave.
+    Draining { since: Instant, evicts_streams: bool },
+    /// Report requested before the order.
     Reporting { timeout_at: Instant, failures: u32 },
-    /// Ordered to change.
+    /// Order sent.
     Ordering { timeout_at: Instant, accepted_orders: u64 },
-    /// Changes; asked for its report at `report_at`.
+    /// Loading the weights; its report is requested at `report_at`.
     Loading { report_at: Instant, change: WeightsChange },
-    /// Asked whether it has changed.
+    /// Report requested to confirm the load.
     Confirming { timeout_at: Instant, change: WeightsChange },
-    /// Did not answer and is left alone.
+    /// Not ordered before `until`, since it did not answer.
     BackingOff { until: Instant },
 }
 
-/// What an order to a server was decided by.
+/// Conditions under which a server was ordered.
 #[derive(Clone, Copy, Debug)]
-struct OrderContext {
+struct OrderConditions {
     /// Whether the server had no requests, so that it loads at once.
-    is_empty: bool,
-    /// What happens to its runs.
+    is_idle: bool,
+    /// What happens to its running requests.
     runs: RunPolicy,
     /// Weights that it is ordered to load.
     revision: WeightsRevision,
 }
 
-/// Reports in a row without an answer after which a server is left alone for a while.
+/// Consecutive unanswered report requests after which a server is skipped for a while.
 const MAX_REPORT_FAILURES: u32 = 2;
 
-/// Rollout of one model's weights, as its one coordinator carries it out.
+/// Rollout of one model's weights, run by the only coordinator.
 #[derive(Clone, Debug)]
 pub struct Rollout {
     settings: RolloutSettings,
     model: ModelId,
     revision: WeightsRevision,
     steps: BTreeMap<ServerId, Step>,
-    orders: BTreeMap<ServerId, OrderContext>,
+    orders: BTreeMap<ServerId, OrderConditions>,
 }
 
 impl Rollout {
@@ -71,7 +73,7 @@
         Self { settings, model, revision, steps, orders }
     }
 
-    /// Returns the revision that the servers are brought to.
+    /// Returns the revision that the servers are updated to.
     pub fn revision(&self) -> WeightsRevision {
         self.revision
     }
@@ -81,21 +83,21 @@
         self.steps.iter().filter(|(_, step)| step.is_closed()).map(|(id, _)| id)
     }
 
-    /// Returns the servers that streams are taken off.
+    /// Returns the servers that resumable streams must leave.
     pub fn evicted(&self) -> impl Iterator<Item = &ServerId> {
         let is_evicted = |step: &Step| match step {
-            Step::Draining { evicts, .. } => *evicts,
+            Step::Draining { evicts_streams, .. } => *evicts_streams,
             step => step.is_closed(),
         };
         self.steps.iter().filter(move |(_, step)| is_evicted(step)).map(|(id, _)| id)
     }
 
-    /// Takes in that a newer revision was named.
+    /// Raises the revision that the servers are updated to.
     pub fn retarget(&mut self, revision: WeightsRevision) {
         self.revision = self.revision.max(revision);
     }
 
-    /// Does what is due, for the model's `servers` that take requests.
+    /// Advances the rollout and returns what to do now; `servers` are the model's usable servers.
     pub fn tick(&mut self, servers: &[RolloutServer], now: Instant) -> Vec<RolloutCommand> {
         let mut commands = Vec::new();
         self.steps.retain(|id, step| match step {
@@ -106,12 +108,12 @@
         for id in ids {
             self.advance(&id, now, &mut commands);
         }
-        self.order_drained(servers, now, &mut commands);
-        self.close_more(servers, now, &mut commands);
+        self.order_drained_servers(servers, now, &mut commands);
+        self.close_outdated_servers(servers, now, &mut commands);
         commands
     }
 
-    /// Takes in a report, none if the server did not answer.
+    /// Handles the report of a server, `None` if it did not answer.
     pub fn on_report(
         &mut self,
         id: &ServerId,
@@ -128,7 +130,7 @@
         }
     }
 
-    /// Takes in the answer to an order.
+    /// Handles the outcome of an order.
     pub fn on_order_outcome(
         &mut self,
         id: &ServerId,
@@ -153,7 +155,7 @@
         Vec::new()
     }
 
-    /// Orders the server unless its report shows that it has changed or is changing.
+    /// Orders the server unless its report shows that it has loaded or is loading the weights.
     fn begin_order(
         &mut self,
         id: &ServerId,
@@ -161,7 +163,7 @@
         now: Instant,
     ) -> Vec<RolloutCommand> {
         let accepted_orders = report.accepted_orders;
-        if self.has_changed(report) {
+        if self.has_loaded(report) {
             return vec![self.finish(id, report)];
         }
         if report.is_busy {
@@ -171,32 +173,32 @@
         let timeout_at = now + self.answer_timeout();
         self.steps.insert(id.clone(), Step::Ordering { timeout_at, accepted_orders });
         let revision = self.revision;
-        let facts = self.orders.entry(id.clone()).or_insert(OrderContext {
-            is_empty: false,
+        let conditions = self.orders.entry(id.clone()).or_insert(OrderConditions {
+            is_idle: false,
             runs: RunPolicy::Wait,
             revision,
         });
-        facts.revision = revision;
-        let runs = facts.runs;
+        conditions.revision = revision;
+        let runs = conditions.runs;
         vec![RolloutCommand::Order { server: id.clone(), accepted_orders, runs }]
     }
 
-    /// Waits for a server that accepted its order; one without runs loads at once.
+    /// Waits for a server that accepted its order; one without requests loads at once.
     fn await_loading(&mut self, id: &ServerId, accepted_orders: u64, now: Instant) {
         let loaded_at = now + Duration::from_millis(self.settings.load_ms);
         let lag = Duration::from_millis(self.settings.report_lag_ms);
-        let is_empty = self.orders.get(id).is_some_and(|facts| facts.is_empty);
+        let is_idle = self.orders.get(id).is_some_and(|conditions| conditions.is_idle);
         let change = WeightsChange {
             accepted_orders,
-            loaded_at: is_empty.then_some(loaded_at),
+            loaded_at: is_idle.then_some(loaded_at),
             settled_at: loaded_at + lag,
             is_open: false,
         };
-        let report_at = if is_empty { loaded_at + lag } else { loaded_at };
+        let report_at = if is_idle { loaded_at + lag } else { loaded_at };
         self.steps.insert(id.clone(), Step::Loading { report_at, change });
     }
 
-    /// Has the server asked at `report_at`, closed until then.
+    /// Schedules a report request at `report_at`; the server stays closed until then.
     fn await_report(
         &mut self,
         id: &ServerId,
@@ -209,7 +211,7 @@
         self.steps.insert(id.clone(), Step::Loading { report_at, change });
     }
 
-    /// Looks whether an ordered server has changed.
+    /// Checks whether an ordered server has loaded the weights.
     fn confirm(
         &mut self,
         id: &ServerId,
@@ -222,11 +224,11 @@
             self.steps.insert(id.clone(), Step::Reporting { timeout_at: report_at, failures: 0 });
             return Vec::new();
         };
-        if self.has_changed(report) {
+        if self.has_loaded(report) {
             return vec![self.finish(id, report)];
         }
         if report.is_busy {
-            // It waits for runs, or loads for longer than others do.
+            // It waits for running requests or loads longer than usual.
             self.await_report(id, report_at, change.accepted_orders, now);
             let close = change.is_open.then(|| RolloutCommand::Close(id.clone()));
             return close.into_iter().collect();
@@ -242,9 +244,9 @@
         self.begin_order(id, report, now)
     }
 
-    fn has_changed(&self, report: &WeightsReport) -> bool {
-        let held = report.weights.get(&self.model).copied().unwrap_or_default();
-        held >= self.revision && !report.is_busy
+    fn has_loaded(&self, report: &WeightsReport) -> bool {
+        let loaded = report.weights.get(&self.model).copied().unwrap_or_default();
+        loaded >= self.revision && !report.is_busy
     }
 
     fn finish(&mut self, id: &ServerId, report: &WeightsReport) -> RolloutCommand {
@@ -255,10 +257,10 @@
 
     fn advance(&mut self, id: &ServerId, now: Instant, commands: &mut Vec<RolloutCommand>) {
         let timeout_at = now + self.answer_timeout();
-        let evict = Duration::from_millis(self.settings.evict_after_ms);
+        let evict_after = Duration::from_millis(self.settings.evict_after_ms);
         match self.steps.get(id).copied() {
-            Some(Step::Draining { since, evicts: false }) if now >= since + evict => {
-                self.steps.insert(id.clone(), Step::Draining { since, evicts: true });
+            Some(Step::Draining { since, evicts_streams: false }) if now >= since + evict_after => {
+                self.steps.insert(id.clone(), Step::Draining { since, evicts_streams: true });
                 commands.push(RolloutCommand::Evict(id.clone()));
             }
             Some(Step::Reporting { timeout_at, failures }) if now >= timeout_at => {
@@ -274,10 +276,12 @@
             Some(Step::Loading { report_at, change })
                 if !change.is_open && change.loaded_at.is_some_and(|at| now >= at) =>
             {
-                // Reports lag; the server is opened when it should have loaded, and asked later.
+                // Reports lag, so the server is reopened when the load should be finished and
+                // confirmed later.
                 let change = WeightsChange { is_open: true, ..change };
                 self.steps.insert(id.clone(), Step::Loading { report_at, change });
-                let revision = self.orders.get(id).map_or(self.revision, |facts| facts.revision);
+                let revision =
+                    self.orders.get(id).map_or(self.revision, |conditions| conditions.revision);
                 commands.push(RolloutCommand::Finish { server: id.clone(), revision });
             }
             Some(Step::Confirming { timeout_at: lost, .. }) if now >= lost => {
@@ -288,15 +292,15 @@
         }
     }
 
-    /// Orders closed servers whose requests have ended, as many as may load at once.
-    fn order_drained(
+    /// Orders drained servers, as many as may load at once.
+    fn order_drained_servers(
         &mut self,
         servers: &[RolloutServer],
         now: Instant,
         commands: &mut Vec<RolloutCommand>,
     ) {
-        let notice = Duration::from_millis(self.settings.notice_delay_ms);
-        let drain = Duration::from_millis(self.settings.drain_timeout_ms);
+        let notice_delay = Duration::from_millis(self.settings.notice_delay_ms);
+        let drain_timeout = Duration::from_millis(self.settings.drain_timeout_ms);
         let is_loading = |step: &&Step| match step {
             Step::Reporting { .. } | Step::Ordering { .. } => true,
             Step::Loading { change, .. } | Step::Confirming { change, .. } => {
@@ -304,48 +308,49 @@
             }
             Step::Draining { .. } | Step::BackingOff { .. } => false,
         };
-        let mut room = self
+        let mut capacity = self
             .max_loading(servers)
             .saturating_sub(self.steps.values().filter(is_loading).count());
         let mut drained: Vec<&RolloutServer> = servers
             .iter()
             .filter(|server| match self.steps.get(&server.id) {
                 Some(Step::Draining { since, .. }) => {
-                    let is_empty = server.requests == 0 && now >= *since + notice;
-                    is_empty || now >= *since + drain
+                    let is_idle = server.requests == 0 && now >= *since + notice_delay;
+                    is_idle || now >= *since + drain_timeout
                 }
                 _ => false,
             })
             .collect();
         drained.sort_by_key(|server| server.requests);
-        while room > 0 && !drained.is_empty() {
+        while capacity > 0 && !drained.is_empty() {
             let server = drained.remove(0);
-            let limit = Duration::from_millis(self.settings.max_run_wait_ms);
-            let waits = server.outdated_since.is_none_or(|since| now < since + limit);
-            let facts = OrderContext {
-                is_empty: server.requests == 0,
-                runs: if waits { RunPolicy::Wait } else { RunPolicy::Keep },
+            let max_run_wait = Duration::from_millis(self.settings.max_run_wait_ms);
+            let is_waiting_allowed =
+                server.outdated_since.is_none_or(|since| now < since + max_run_wait);
+            let conditions = OrderConditions {
+                is_idle: server.requests == 0,
+                runs: if is_waiting_allowed { RunPolicy::Wait } else { RunPolicy::Keep },
                 revision: self.revision,
             };
-            self.orders.insert(server.id.clone(), facts);
+            self.orders.insert(server.id.clone(), conditions);
             let timeout_at = now + self.answer_timeout();
             self.steps.insert(server.id.clone(), Step::Reporting { timeout_at, failures: 0 });
             commands.push(RolloutCommand::Report(server.id.clone()));
-            room -= 1;
+            capacity -= 1;
         }
     }
 
-    /// Closes further servers with older weights, those with the fewest requests first, so that as
-    /// many drain as load.
-    fn close_more(
+    /// Closes more outdated servers, those with the fewest requests first, so that as many drain as
+    /// load.
+    fn close_outdated_servers(
         &mut self,
         servers: &[RolloutServer],
         now: Instant,
         commands: &mut Vec<RolloutCommand>,
     ) {
         let half = servers.len().div_ceil(2);
-        let part = (servers.len() as f64 * self.settings.closed_fraction) as usize;
-        let most = part.max(2 * self.settings.min_loading).min(half).max(1);
+        let fraction = (servers.len() as f64 * self.settings.closed_fraction) as usize;
+        let max_closed = fraction.max(2 * self.settings.min_loading).min(half).max(1);
         let busy = self.steps.values().filter(|step| match step {
             Step::Loading { change, .. } | Step::Confirming { change, .. } => {
                 change.loaded_at.is_none_or(|at| now < at)
@@ -353,22 +358,23 @@
             Step::BackingOff { .. } => false,
             _ => true,
         });
-        let room = most.saturating_sub(busy.count());
+        let capacity = max_closed.saturating_sub(busy.count());
         let mut outdated: Vec<&RolloutServer> = servers
             .iter()
             .filter(|server| server.revision < self.revision)
             .filter(|server| !self.steps.contains_key(&server.id))
             .collect();
         outdated.sort_by_key(|server| server.requests);
-        for server in outdated.into_iter().take(room) {
-            self.steps.insert(server.id.clone(), Step::Draining { since: now, evicts: false });
+        for server in outdated.into_iter().take(capacity) {
+            self.steps
+                .insert(server.id.clone(), Step::Draining { since: now, evicts_streams: false });
             commands.push(RolloutCommand::Close(server.id.clone()));
         }
     }
 
     fn max_loading(&self, servers: &[RolloutServer]) -> usize {
-        let part = (servers.len() as f64 * self.settings.loading_fraction) as usize;
-        part.max(self.settings.min_loading)
+        let fraction = (servers.len() as f64 * self.settings.loading_fraction) as usize;
+        fraction.max(self.settings.min_loading)
     }
 
     fn fail_report(&mut self, id: &ServerId, failures: u32, now: Instant) -> Vec<RolloutCommand> {
@@ -382,7 +388,7 @@
     }
 
     fn abandon(&mut self, id: &ServerId, now: Instant) -> RolloutCommand {
-        let until = now + Duration::from_millis(self.settings.retry_ms);
+        let until = now + Duration::from_millis(self.settings.retry_delay_ms);
         self.steps.insert(id.clone(), Step::BackingOff { until });
         RolloutCommand::Abandon(id.clone())
     }
--- a/src/decision/relay/rollout_messages.rs
+++ b/src/decision/relay/rollout_messages.rs
@@ -1,41 +1,42 @@
-//! Settings, reports and commands of a rollout.
+//! Settings, reports and commands of a weight rollout.
 
 use crate::types::{ModelId, ServerId, WeightsRevision};
 use std::collections::BTreeMap;
 use std::time::Instant;
 use strum::Display;
 
-/// Settings of a rollout.
+/// Settings of a weight rollout.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RolloutSettings {
-    /// Part of the servers that may load at once without slowing each other.
+    /// Fraction of the servers that may load at once without slowing each other.
     pub loading_fraction: f64,
-    /// Part of the servers that may be closed at once, those that load among them.
+    /// Maximum fraction of the servers that are closed at once, including those that load.
     pub closed_fraction: f64,
-    /// Servers that may load at once whatever their number.
+    /// Servers that may load at once even if the fraction allows fewer.
     pub min_loading: usize,
-    /// Milliseconds that a server takes to load weights while few others do.
+    /// Milliseconds that a server takes to load weights while few others load.
     pub load_ms: u64,
     /// Milliseconds by which a server's report lags.
     pub report_lag_ms: u64,
-    /// Milliseconds between the notice that closes a server and the order: the way to all nodes.
+    /// Milliseconds between the notice that closes a server and its order, for the notice to reach
+    /// all nodes.
     pub notice_delay_ms: u64,
-    /// Milliseconds after which streams that can go on elsewhere are taken off a closed server.
+    /// Milliseconds after which resumable streams must leave a closed server.
     pub evict_after_ms: u64,
-    /// Milliseconds for which a closed server's requests are waited for before it is ordered.
+    /// Milliseconds after which a closed server is ordered even if it still has requests.
     pub drain_timeout_ms: u64,
-    /// Milliseconds until an order or report without an answer counts as lost.
+    /// Milliseconds after which an unanswered order or report request counts as lost.
     pub answer_timeout_ms: u64,
-    /// Milliseconds between reports of a server that changes.
+    /// Milliseconds between the report requests to a loading server.
     pub report_period_ms: u64,
-    /// Milliseconds after which runs on outdated weights are no longer waited for.
+    /// Milliseconds after which outdated weights are replaced without waiting for running requests.
     pub max_run_wait_ms: u64,
-    /// Milliseconds for which a server that does not answer is left alone.
-    pub retry_ms: u64,
+    /// Milliseconds for which a server that does not answer is skipped.
+    pub retry_delay_ms: u64,
 }
 
 impl RolloutSettings {
-    /// Returns the settings for so many nodes that notices and loads go over several of them.
+    /// Returns the settings for sites with so many nodes that notices and loads are forwarded.
     pub fn for_many_nodes() -> Self {
         Self { notice_delay_ms: 300, evict_after_ms: 300, closed_fraction: 0.25, ..Self::default() }
     }
@@ -55,88 +56,89 @@
             answer_timeout_ms: 250,
             report_period_ms: 60,
             max_run_wait_ms: 4_500,
-            retry_ms: 700,
+            retry_delay_ms: 700,
         }
     }
 }
 
-/// What happens to the runs of a server that changes its weights.
+/// What happens to running requests when a server replaces its weights.
 #[derive(Clone, Copy, Debug, Display, Eq, PartialEq)]
 #[strum(serialize_all = "snake_case")]
 pub enum RunPolicy {
-    /// The change waits until they end.
+    /// The server waits until they end.
     Wait,
-    /// They go on under the new weights.
+    /// They continue with the new weights.
     Keep,
 }
 
-/// Server of the model, as the fleet knows it.
+/// State of one of the model's servers.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct RolloutServer {
     /// Id.
     pub id: ServerId,
-    /// Weights that it is believed to hold.
+    /// Weights that it is believed to have loaded.
     pub revision: WeightsRevision,
-    /// Requests at the server.
+    /// Number of requests at the server.
     pub requests: u32,
-    /// Since when its weights have been outdated, none if they are not.
+    /// Since when its weights have been outdated, `None` if they are not.
     pub outdated_since: Option<Instant>,
 }
 
 /// Report of a server about its weights.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct WeightsReport {
-    /// Weights of each model.
+    /// Weights loaded for each model.
     pub weights: BTreeMap<ModelId, WeightsRevision>,
-    /// Whether an order is being carried out.
+    /// Whether the server is carrying out an order.
     pub is_busy: bool,
-    /// Orders that the server has accepted since its start.
+    /// Orders accepted since the server started.
     pub accepted_orders: u64,
 }
 
-/// Answer to an order.
+/// Outcome of an order.
 #[derive(Clone, Copy, Debug, Display, Eq, PartialEq)]
 #[strum(serialize_all = "snake_case")]
 pub enum WeightsOrderOutcome {
-    /// The order is being carried out.
+    /// The server carries out the order.
     Accepted,
-    /// The server holds the weights already.
+    /// The server has loaded the weights already.
     AlreadyHolds,
-    /// Another order is under way, or others were accepted meanwhile.
+    /// Another order is running, or others were accepted since the report.
     Conflict,
-    /// A higher fencing number was used.
+    /// The server has seen a higher fencing number.
     Fenced,
-    /// The server rejects the order for good.
+    /// The server rejects the order as invalid.
     Invalid,
     /// There was no answer; the order may still be carried out.
     Unknown,
 }
 
-/// What to do next.
+/// Command to the caller of the rollout.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum RolloutCommand {
     /// Close the server to new requests on all nodes.
     Close(ServerId),
-    /// Take streams that can go on elsewhere off the server, on all nodes.
+    /// Make resumable streams leave the server, on all nodes.
     Evict(ServerId),
-    /// Ask the server for its report.
+    /// Request a report from the server.
     Report(ServerId),
-    /// Order the server to change.
+    /// Order the server to load the weights.
     Order {
         /// Server.
         server: ServerId,
-        /// Orders that the server must have accepted so far for this one to count.
+        /// Expected number of orders that the server has accepted; another number makes it reject
+        /// the order.
         accepted_orders: u64,
-        /// What happens to its runs.
+        /// What happens to its running requests.
         runs: RunPolicy,
     },
-    /// The server holds the weights: reopen it on all nodes.
+    /// Reopen the server on all nodes: it has loaded the weights.
     Finish {
         /// Server.
         server: ServerId,
-        /// Its weights.
+        /// Weights that it has loaded.
         revision: WeightsRevision,
     },
-    /// The server does not answer: reopen it, it is tried again later.
+    /// Reopen the server, which does not answer; the rollout tries it again later.
     Abandon(ServerId),
 }
--- a/src/decision/relay/server.rs
+++ b/src/decision/relay/server.rs
@@ -1,4 +1,4 @@
-//! Backend server as a node sees it.
+//! State of one backend server at a node.
 
 use super::health::{Health, ServerContact, SilenceChange};
 use crate::types::{AvailabilityZone, InstanceId, ModelId, ServerId, ServiceId, WeightsRevision};
@@ -8,34 +8,34 @@
 use std::time::{Duration, Instant};
 use strum::Display;
 
-/// Time for which a server whose entry vanished without notice still gets requests that no other
-/// server can take: entries that lapse in an outage of the list are back within two seconds.
+/// Time for which a server whose entry is missing still gets requests that no other server can
+/// take: entries that expire during an outage of the server list are back within two seconds.
 const MISSING_ENTRY_GRACE: Duration = Duration::from_millis(1_700);
 
-/// Time after which a partner's count shows what this node's requests went along with: nodes tell
-/// their loads several times as often as that.
+/// Time constant after which a partner's update includes requests sent concurrently with this
+/// node's own; nodes send loads several times as often.
 const UNREPORTED_DECAY_PERIOD: Duration = Duration::from_millis(150);
 
-/// Part of this node's newest requests that each other node is taken to have sent as well.
+/// Fraction of this node's recent prompt tokens that each other node is assumed to have sent too.
 const UNREPORTED_FRACTION: f64 = 0.7;
 
-/// Time for which a partner's count of its requests holds.
+/// Time after which a partner's update expires.
 const PARTNER_UPDATE_LIFETIME: Duration = Duration::from_millis(1_500);
 
-/// Time after which a silent server is looked at again.
+/// Time after which a silent server is checked again.
 const SILENCE_RECHECK_PERIOD: Duration = Duration::from_millis(500);
 
-/// State that a server reports of itself.
+/// State that a server reports.
 #[derive(Clone, Copy, Debug, Display, Eq, PartialEq)]
 #[strum(serialize_all = "snake_case")]
 pub enum ServerState {
-    /// Takes requests.
+    /// Accepts requests.
     Ready,
-    /// Is leaving and takes no new requests.
+    /// Leaving; accepts no new requests.
     Draining,
 }
 
-/// What a server reports of itself.
+/// Entry that a server publishes about itself.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct ServerEntry {
     /// Id.
@@ -50,16 +50,16 @@
     pub slots: u32,
     /// State.
     pub state: ServerState,
-    /// Start by its own clock, as a Unix time in milliseconds; tells runs under one id apart.
+    /// Start by the server's own clock, as a Unix time in milliseconds; distinguishes incarnations.
     pub started_unix_ms: Option<u64>,
-    /// Weights that it holds.
+    /// Loaded weights.
     pub weights: BTreeMap<ModelId, WeightsRevision>,
 }
 
-/// Priorities that are told apart; lower ones count as the last.
+/// Priorities that are distinguished; lower ones count as the last.
 const PRIORITY_LEVELS: usize = 4;
 
-/// Prompt tokens that are not read yet, by the priority of their requests.
+/// Prompt tokens not prefilled yet, by request priority.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct UnreadTokens([u32; PRIORITY_LEVELS]);
 
@@ -71,36 +71,42 @@
         Self(all)
     }
 
-    /// Returns the tokens that are read before those of a new request of `priority`.
+    /// Returns the tokens that are prefilled before those of a new request of `priority`.
     pub fn ahead_of(&self, priority: u8) -> u32 {
         self.0.iter().take(usize::from(priority) + 1).sum()
     }
 
     fn add(&mut self, other: Self) {
-        self.0.iter_mut().zip(other.0).for_each(|(own, other)| *own = own.saturating_add(other));
+        self.0
+            .iter_mut()
+            .zip(other.0)
+            .for_each(|(tokens, other)| *tokens = tokens.saturating_add(other));
     }
 
-    /// Takes tokens out that are read by now.
+    /// Removes tokens that are no longer waiting.
     pub fn subtract(&mut self, other: Self) {
-        self.0.iter_mut().zip(other.0).for_each(|(own, other)| *own = own.saturating_sub(other));
+        self.0
+            .iter_mut()
+            .zip(other.0)
+            .for_each(|(tokens, other)| *tokens = tokens.saturating_sub(other));
     }
 }
 
-/// Load of a server as it goes between nodes, without the names of its fields: requests, long runs,
-/// unread tokens, memory tokens.
+/// Wire form of a [`ServerLoad`], without field names: requests, decode-heavy requests, prompt
+/// tokens not prefilled yet, memory tokens.
 type PackedLoad = (u32, u32, UnreadTokens, u64);
 
-/// Requests at a server.
+/// Load of a server.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(from = "PackedLoad", into = "PackedLoad")]
 pub struct ServerLoad {
-    /// Requests sent and not ended.
+    /// Requests that have not ended.
     pub requests: u32,
-    /// Long runs among them.
+    /// Decode-heavy requests among them.
     pub long_runs: u32,
-    /// Prompt tokens that are not read yet, by priority.
+    /// Prompt tokens not prefilled yet, by request priority.
     pub unread_tokens: UnreadTokens,
-    /// Tokens that the requests keep in memory.
+    /// Tokens that the requests occupy in the KV cache.
     pub memory_tokens: u64,
 }
 
@@ -132,21 +138,22 @@
     }
 }
 
-/// What a node tells of a server, for itself and the nodes for which it speaks.
+/// Load and contact of a server, as reported by a node for itself and the nodes whose loads it
+/// forwards.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(from = "PackedNews", into = "PackedNews")]
 pub struct ServerUpdate {
     /// Server.
     pub server: ServerId,
-    /// Requests at the server.
+    /// Load of the server.
     pub load: ServerLoad,
-    /// Milliseconds since the server was heard, none if it never was.
+    /// Milliseconds since the last contact, `None` if there was none.
     pub heard_ms: Option<u32>,
-    /// Milliseconds for which the oldest unanswered request has waited, none if there is none.
+    /// Milliseconds for which the oldest unanswered request has waited, `None` if there is none.
     pub awaited_ms: Option<u32>,
 }
 
-/// News as they go between nodes, without the names of their fields.
+/// Wire form of a [`ServerUpdate`], without field names.
 type PackedNews = (ServerId, ServerLoad, Option<u32>, Option<u32>);
 
 impl From<PackedNews> for ServerUpdate {
@@ -171,7 +178,7 @@
     }
 }
 
-/// What a partner told of a server.
+/// Last update from a partner.
 #[derive(Clone, Copy, Debug)]
 struct PartnerUpdate {
     load: ServerLoad,
@@ -182,15 +189,15 @@
 /// Backend server.
 #[derive(Clone, Debug)]
 pub struct Server {
-    /// Last report of the server.
+    /// Newest entry of the server.
     pub entry: ServerEntry,
-    /// Newest weights known, from reports, answers and partners.
+    /// Newest known weights, from entries, answers and partners.
     pub weights: BTreeMap<ModelId, WeightsRevision>,
     /// Health.
     pub health: Health,
-    /// Requests of this node.
+    /// Load of this node's requests.
     pub local_load: ServerLoad,
-    /// Hash of the id, for rendezvous.
+    /// Hash of the id for rendezvous hashing.
     pub id_hash: u64,
     partner_updates: BTreeMap<InstanceId, PartnerUpdate>,
     recent_tokens: f64,
@@ -202,7 +209,7 @@
 }
 
 impl Server {
-    /// Returns a server with its first report.
+    /// Returns a server with its first entry.
     pub fn new(entry: ServerEntry) -> Self {
         Self {
             weights: entry.weights.clone(),
@@ -220,12 +227,12 @@
         }
     }
 
-    /// Takes in a later report; a new run of the server starts without what was known.
+    /// Applies a newer entry; a new incarnation of the server loses the earlier state.
     pub fn update(&mut self, entry: ServerEntry) {
-        let is_same_run = self.entry.started_unix_ms == entry.started_unix_ms
+        let is_same_incarnation = self.entry.started_unix_ms == entry.started_unix_ms
             && self.entry.address == entry.address;
         self.expires_at = None;
-        if is_same_run {
+        if is_same_incarnation {
             for (model, revision) in &entry.weights {
                 let known = self.weights.entry(model.clone()).or_default();
                 *known = (*known).max(*revision);
@@ -239,59 +246,59 @@
         self.entry = entry;
     }
 
-    /// Takes in that the server's entry vanished; returns whether it is kept for a while.
+    /// Marks the entry as missing; returns whether the server stays usable for a while.
     pub fn mark_entry_missing(&mut self, now: Instant) -> bool {
         self.expires_at.get_or_insert(now + MISSING_ENTRY_GRACE);
         self.entry.state == ServerState::Ready
     }
 
-    /// Whether the entry vanished and has not come back in time.
+    /// Whether the entry has been missing for too long.
     pub fn has_expired(&self, now: Instant) -> bool {
         self.expires_at.is_some_and(|until| until <= now)
     }
 
-    /// Whether the entry has vanished.
+    /// Whether the entry is missing.
     pub fn is_entry_missing(&self) -> bool {
         self.expires_at.is_some()
     }
 
-    /// Keeps new requests away until `until`, while the server changes its weights; `evicts` takes
-    /// streams that can go on elsewhere off it.
-    pub fn close_until(&mut self, until: Instant, evicts: bool) {
+    /// Closes the server to new requests until `until`, while it loads weights; with
+    /// `evicts_streams` resumable streams must leave it.
+    pub fn close_until(&mut self, until: Instant, evicts_streams: bool) {
         self.closed_until = Some(until);
-        self.evicted_until = evicts.then_some(until);
+        self.evicted_until = evicts_streams.then_some(until);
     }
 
-    /// Whether streams that can go on elsewhere are to leave the server.
+    /// Whether resumable streams must leave the server.
     pub fn is_evicted(&self, now: Instant) -> bool {
         self.evicted_until.is_some_and(|until| now < until)
     }
 
-    /// Lets new requests through again.
+    /// Opens the server to new requests.
     pub fn reopen(&mut self) {
         self.closed_until = None;
         self.evicted_until = None;
         self.full_until = None;
     }
 
-    /// Opens a server that did not answer the coordinator of a rollout; it counts as unreachable, since
-    /// requests would get no answer either.
+    /// Opens a server that did not answer the coordinator of a rollout; it counts as unreachable,
+    /// since requests would get no answer either.
     pub fn reopen_unresponsive(&mut self, now: Instant) {
         self.reopen();
         self.health.record_unreachable(now);
     }
 
-    /// Keeps new requests away until `until`, after the server rejected one as full.
+    /// Closes the server to new requests until `until`, after it rejected one as full.
     pub fn set_full_until(&mut self, until: Instant) {
         self.full_until = Some(until);
     }
 
-    /// Whether a rollout or a rejection keeps new requests away; returns until when.
+    /// Returns until when a rollout or a rejection closes the server, `None` if it is open.
     pub fn closed_until(&self, now: Instant) -> Option<Instant> {
         self.closed_until.max(self.full_until).filter(|until| now < *until)
     }
 
-    /// Takes in what a partner tells; returns what that changes about the server's silence.
+    /// Applies a partner's update; returns the change if the server became silent or recovered.
     pub fn apply_update(
         &mut self,
         partner: InstanceId,
@@ -307,14 +314,14 @@
         self.health.update_silence(others, now)
     }
 
-    /// Returns what this node and all partners but `except` know.
+    /// Returns the combined update of this node and all partners except `except`.
     pub fn update_without(&self, except: Option<&InstanceId>, now: Instant) -> ServerUpdate {
         let mut contact = self.health.contact();
         contact.merge(self.partner_contact(except, now));
         self.build_update(self.load_without(except, now), contact, now)
     }
 
-    /// Returns what this node alone knows.
+    /// Returns the update of this node alone.
     pub fn local_update(&self, now: Instant) -> ServerUpdate {
         self.build_update(self.local_load, self.health.contact(), now)
     }
@@ -331,12 +338,12 @@
         }
     }
 
-    /// Whether the server owes answers, to this node or others, and has fallen silent.
+    /// Whether the server has left requests of any node unanswered without contact for too long.
     pub fn is_silent(&self, now: Instant) -> bool {
         self.health.is_silent(self.partner_contact(None, now), now)
     }
 
-    /// Returns until when the server's health keeps new requests away.
+    /// Returns until when failed connections or silence suspend the server, `None` if it is usable.
     pub fn suspended_until(&self, now: Instant) -> Option<Instant> {
         let suspended = self.health.suspended_until(now);
         suspended.or_else(|| self.is_silent(now).then_some(now + SILENCE_RECHECK_PERIOD))
@@ -352,7 +359,7 @@
         contact
     }
 
-    /// Takes in that this node sends a request.
+    /// Adds the load of a request that this node sends.
     pub fn add_local_load(&mut self, load: ServerLoad, now: Instant) {
         self.local_load.add(load);
         let tokens = load.unread_tokens.ahead_of(u8::MAX);
@@ -360,8 +367,8 @@
         self.recent_at = Some(now);
     }
 
-    /// Returns the tokens that other nodes have probably sent to this server besides what they
-    /// told: they see the same server as the best one at the same time.
+    /// Returns the prompt tokens that other nodes have probably sent without having reported them:
+    /// they choose the same cheapest server at the same time.
     pub fn unreported_tokens(&self, now: Instant) -> f64 {
         let others = self.partner_updates.values().filter(|update| now < update.expires_at).count();
         self.decayed_recent_tokens(now) * others as f64 * UNREPORTED_FRACTION
@@ -373,17 +380,17 @@
         self.recent_tokens * (-age.as_secs_f64() / UNREPORTED_DECAY_PERIOD.as_secs_f64()).exp()
     }
 
-    /// Drops what a partner told of its requests.
+    /// Drops a partner's update.
     pub fn remove_partner(&mut self, partner: &InstanceId) {
         self.partner_updates.remove(partner);
     }
 
-    /// Returns the load of all nodes as far as it is known.
+    /// Returns the known load of all nodes.
     pub fn total_load(&self, now: Instant) -> ServerLoad {
         self.load_without(None, now)
     }
 
-    /// Returns the load of this node and of what all partners but `except` told.
+    /// Returns the load of this node and all partners except `except`.
     pub fn load_without(&self, except: Option<&InstanceId>, now: Instant) -> ServerLoad {
         let mut total = self.local_load;
         for (partner, update) in &self.partner_updates {
