--- a/tests/relay/choose.rs
+++ b/tests/relay/choose.rs
@@ -1,4 +1,5 @@
-//! Where requests go: homes that all nodes agree on, spill under load, walls, and outdated weights.
+//! Server choice: home servers agreed on by all nodes, spill under load, cache isolation and
+//! outdated weights.
 
 use super::fixture::*;
 use coriandertide::decision::relay::server::{ServerLoad, ServerUpdate};
@@ -10,7 +11,7 @@
 use std::time::Instant;
 
 #[test]
-fn nodes_in_all_zones_send_a_subject_to_one_home() {
+fn nodes_agree_on_the_home_server_of_a_subject() {
     let now = Instant::now();
     for subject in 0..50 {
         let homes: Vec<_> = ZONES
@@ -22,7 +23,7 @@
 }
 
 #[test]
-fn subjects_are_spread_over_all_servers_but_those_of_long_runs() {
+fn subjects_are_spread_over_all_servers_outside_the_decode_pool() {
     let now = Instant::now();
     let fleet = fleet(12, 1);
     let mut counts: BTreeMap<_, u32> = BTreeMap::new();
@@ -34,22 +35,22 @@
 }
 
 #[test]
-fn long_runs_and_long_prompts_do_not_share_servers() {
+fn decode_heavy_requests_and_long_prompts_use_different_servers() {
     let now = Instant::now();
     let mut fleet = fleet(12, 1);
-    // 46 runs of 290 tokens a second keep about four servers busy.
+    // 46 requests per second with 290 tokens each keep about four servers busy.
     fleet.decode_rate.set_partner_rate("other".into(), 46.0 * 290.0, now);
-    let runs: Vec<_> =
+    let decode_servers: Vec<_> =
         (0..100).map(|i| choose(&fleet, &decode_heavy_prompt(i, i), now).server).collect();
-    let prompts: Vec<_> =
+    let prompt_servers: Vec<_> =
         (0..100).map(|i| choose(&fleet, &long_prompt(i, i), now).server).collect();
-    assert!(runs.iter().all(|server| !prompts.contains(server)));
-    let servers: std::collections::BTreeSet<_> = runs.iter().collect();
+    assert!(decode_servers.iter().all(|server| !prompt_servers.contains(server)));
+    let servers: std::collections::BTreeSet<_> = decode_servers.iter().collect();
     assert!((2..=6).contains(&servers.len()), "{servers:?}");
 }
 
 #[test]
-fn a_hot_subject_spills_to_the_next_home_which_fetches_from_the_first() {
+fn hot_subjects_spill_to_a_server_that_fetches_from_the_home_server() {
     let now = Instant::now();
     let mut fleet = fleet(12, 1);
     let prompt = long_prompt(7, 1);
@@ -64,7 +65,7 @@
 }
 
 #[test]
-fn a_short_queue_at_the_home_costs_less_than_reading_again_elsewhere() {
+fn a_short_queue_costs_less_than_recomputing_the_prefix() {
     let now = Instant::now();
     let mut fleet = fleet(12, 1);
     let prompt = long_prompt(7, 1);
@@ -75,7 +76,7 @@
 }
 
 #[test]
-fn before_the_store_has_a_preamble_one_server_reads_it_for_all() {
+fn one_server_prefills_a_shared_prefix_that_is_not_stored() {
     let now = Instant::now();
     let fleet = with_store(fleet(12, 1), now);
     let servers: std::collections::BTreeSet<_> =
@@ -84,7 +85,7 @@
 }
 
 #[test]
-fn what_the_store_has_is_fetched_as_far_as_its_link_allows() {
+fn stored_prefixes_are_fetched_within_the_link_share() {
     let now = Instant::now();
     let mut fleet = with_store(fleet(12, 1), now);
     let prompt = long_prompt(7, 1);
@@ -101,7 +102,7 @@
 }
 
 #[test]
-fn cache_names_differ_by_weights_and_by_wall() {
+fn cache_salts_differ_by_weights_and_isolated_workspace() {
     let now = Instant::now();
     let prompt = long_prompt(7, 1);
     let salt = |weights, isolated_workspace| {
@@ -116,11 +117,11 @@
 }
 
 #[test]
-fn outdated_weights_are_used_while_fresh_then_avoided_then_refused() {
+fn outdated_weights_are_avoided_and_later_refused() {
     let now = Instant::now();
     let mut fleet = fleet(2, 1);
     fleet.set_target(MODEL, 2, now);
-    // A later revision does not give servers that are two behind more time.
+    // A later revision does not give more time to servers that are two revisions behind.
     fleet.set_target(MODEL, 3, now + ms(4_000));
     let prompt = long_prompt(7, 1);
     assert!(fleet.choose(query(&prompt), now + ms(5_000)).is_ok());
@@ -131,9 +132,9 @@
     assert_eq!(choose(&fleet, &prompt, now + ms(2_000)).server, "s1");
 }
 
-/// Pattern: all nodes are killed and start again; they know of newer weights, but not since when.
+/// All nodes restart and learn of newer weights, but not since when these exist.
 #[test]
-fn a_node_that_does_not_know_how_old_newer_weights_are_avoids_outdated_ones_sooner() {
+fn weights_of_unknown_age_shorten_the_use_of_outdated_ones() {
     let now = Instant::now() + ms(10_000);
     let mut fleet = fleet(2, 1);
     fleet.set_target_of_unknown_age(MODEL, 2, now);
@@ -143,7 +144,7 @@
 }
 
 #[test]
-fn closed_draining_and_tried_servers_get_nothing() {
+fn closed_draining_and_tried_servers_get_no_requests() {
     let now = Instant::now();
     let mut fleet = fleet(4, 1);
     let mut draining = entry(0, 1);
@@ -160,7 +161,7 @@
 }
 
 #[test]
-fn a_vanished_server_serves_only_while_nobody_else_can_and_not_for_long() {
+fn servers_without_entry_are_a_short_last_resort() {
     let now = Instant::now();
     let mut fleet = fleet(2, 1);
     fleet.remove_entry(&"s0".into(), now);
@@ -175,7 +176,7 @@
 }
 
 #[test]
-fn a_draining_server_that_vanishes_is_gone_at_once() {
+fn draining_servers_without_entry_are_removed_at_once() {
     let now = Instant::now();
     let mut fleet = fleet(1, 1);
     let mut draining = entry(0, 1);
@@ -186,7 +187,7 @@
 }
 
 #[test]
-fn plain_calls_go_to_the_emptiest_server_and_are_refused_when_all_queues_are_full() {
+fn plain_calls_go_to_the_least_loaded_server_until_all_queues_are_full() {
     let now = Instant::now();
     let mut fleet = fleet(2, 1);
     for index in 0..2 {
@@ -213,7 +214,7 @@
 }
 
 #[test]
-fn a_server_that_fails_most_of_its_calls_is_avoided_and_tried_again_later() {
+fn failing_servers_are_avoided_and_tried_again_later() {
     let now = Instant::now();
     let mut fleet = fleet(3, 1);
     let query = ServerQuery {
@@ -223,17 +224,17 @@
         priority: 2,
         tried: &[],
     };
-    let near = fleet.choose(query, now).unwrap().server;
+    let preferred = fleet.choose(query, now).unwrap().server;
     for _ in 0..5 {
-        fleet.server_mut(&near).unwrap().health.record_outcome(false, 0.0, now);
+        fleet.server_mut(&preferred).unwrap().health.record_outcome(false, 0.0, now);
     }
-    assert_ne!(fleet.choose(query, now).unwrap().server, near);
-    assert_eq!(fleet.choose(query, now + ms(30_000)).unwrap().server, near);
+    assert_ne!(fleet.choose(query, now).unwrap().server, preferred);
+    assert_eq!(fleet.choose(query, now + ms(30_000)).unwrap().server, preferred);
 }
 
-/// Pattern: a dark server is due for new weights; its coordinator finds out first.
+/// An unresponsive server is due for new weights, and the rollout coordinator notices first.
 #[test]
-fn a_server_that_did_not_answer_its_coordinator_gets_no_requests_for_a_while() {
+fn servers_that_do_not_answer_the_coordinator_are_suspended() {
     let now = Instant::now();
     let mut fleet = fleet(2, 1);
     let prompt = long_prompt(7, 1);
@@ -244,10 +245,10 @@
     assert_eq!(choose(&fleet, &prompt, now + ms(400)).server, home);
 }
 
-/// Pattern: one server opens empty while all others have long queues, and six nodes that tell their
-/// loads every 100 ms see it at once.
+/// One server opens empty while all others have long queues, and six nodes that send loads every
+/// 100 ms see it at the same time.
 #[test]
-fn a_server_that_opens_empty_is_not_flooded_by_all_nodes() {
+fn an_empty_server_is_not_flooded_by_all_nodes() {
     let start = Instant::now();
     let mut nodes = vec![fleet(6, 1); 6];
     for node in &mut nodes {
@@ -272,7 +273,7 @@
             exchange_loads(&mut nodes, now);
         }
     }
-    // 60,000 tokens are three quarters of a second of reading.
+    // 60,000 tokens take three quarters of a second to prefill.
     assert!((10_000..60_000).contains(&sent_tokens), "{sent_tokens}");
 }
 
@@ -291,22 +292,22 @@
     }
 }
 
-/// Pattern: many nodes whose loads come late; a server reopens and is the only one without work.
+/// Many nodes with late load updates; the only server without load reopens.
 #[test]
-fn a_server_that_reopens_does_not_get_what_all_nodes_send_meanwhile() {
+fn a_reopened_server_gets_a_limited_part_of_the_requests() {
     let now = Instant::now();
     let mut fleet = fleet(60, 1);
     for index in 1..60 {
         add_requests(&mut fleet, &format!("s{index}"), 40, now);
     }
-    let sent = (0..200).map(|i| choose(&fleet, &long_prompt(i, i), now).server);
-    let to_idle = sent.filter(|server| server == "s0").count();
-    assert!(to_idle <= 200 * 12 / 60 * 2, "{to_idle}");
+    let chosen = (0..200).map(|i| choose(&fleet, &long_prompt(i, i), now).server);
+    let to_empty = chosen.filter(|server| server == "s0").count();
+    assert!(to_empty <= 200 * 12 / 60 * 2, "{to_empty}");
 }
 
-/// Pattern: servers with few slots; a request behind a full set waits until another ends.
+/// Servers with few slots: a request waits for a slot until another request ends.
 #[test]
-fn a_server_whose_slots_are_taken_gets_less_than_one_with_free_slots() {
+fn servers_with_free_slots_are_preferred() {
     let now = Instant::now();
     let mut fleet = fleet(12, 1);
     let prompt = long_prompt(3, 3);
@@ -315,9 +316,9 @@
     assert_ne!(choose(&fleet, &prompt, now).server, home);
 }
 
-/// Pattern: servers with a dozen slots; a pool of long runs would take half of them.
+/// Servers with a dozen slots: a decode pool would take half of them.
 #[test]
-fn where_servers_have_few_slots_long_runs_share_them_with_prompts() {
+fn servers_with_few_slots_form_no_decode_pool() {
     let now = Instant::now();
     let mut fleet = Fleet::new(ZONES[0].into());
     for index in 0..40 {
@@ -330,9 +331,9 @@
     assert!(servers.len() >= 36, "{}", servers.len());
 }
 
-/// Pattern: six homes are loaded beyond the latency objective.
+/// The six preferred servers have backlogs beyond the latency objective.
 #[test]
-fn a_prompt_whose_homes_are_loaded_goes_further() {
+fn prompts_go_past_loaded_preferred_servers() {
     let now = Instant::now();
     let mut fleet = fleet(60, 1);
     let prompt = long_prompt(5, 5);
@@ -344,9 +345,9 @@
     assert!(choice.cost_ms < 400.0, "{choice:?}");
 }
 
-/// Pattern: a dark server before many nodes; the requests of one of them show it to all.
+/// A server is unresponsive, and only a partner has requests there.
 #[test]
-fn a_server_that_is_silent_for_other_nodes_gets_nothing() {
+fn servers_that_partners_find_silent_get_no_requests() {
     let now = Instant::now();
     let mut fleet = fleet(12, 1);
     let prompt = long_prompt(7, 7);
@@ -359,9 +360,9 @@
     assert_ne!(choose(&fleet, &prompt, now).server, home);
 }
 
-/// Pattern: engines evict a prefix within two or three seconds; the store keeps it for longer.
+/// Engines evict a prefix within two or three seconds, the store keeps it longer.
 #[test]
-fn a_prefix_comes_from_the_server_that_just_read_it_and_later_from_the_store() {
+fn prefixes_are_fetched_from_a_server_while_cached_then_from_the_store() {
     let now = Instant::now();
     let mut fleet = with_store(fleet(12, 1), now);
     let prompt = long_prompt(7, 1);
--- a/tests/relay/configuration.rs
+++ b/tests/relay/configuration.rs
@@ -1,4 +1,4 @@
-//! Routes, splits and keys.
+//! Route lookup, traffic split and workspace keys.
 
 use coriandertide::decision::relay::configuration::{Caller, RouteTarget, Workspace};
 use coriandertide::decision::relay::{Configuration, RetrySafety, Route};
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn the_longest_prefix_of_the_host_wins() {
+fn the_longest_path_prefix_of_the_host_wins() {
     let configuration = configuration();
     let name = |host, path| configuration.route(host, path).map(|route| route.name.to_string());
     let found = [
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn a_split_is_kept_and_a_request_always_takes_the_same_side() {
+fn traffic_splits_follow_the_weights_and_are_deterministic() {
     let configuration = configuration();
     let route = configuration.route("b.example", "/x/").unwrap();
     let services: Vec<_> = (0..1_000).map(|hash| route.service(hash).unwrap()).collect();
@@ -77,7 +77,7 @@
 }
 
 #[test]
-fn keys_name_workspaces_unless_the_route_is_public() {
+fn keys_identify_workspaces_unless_the_route_is_public() {
     let mut configuration = configuration();
     let route = std::sync::Arc::clone(configuration.route("a.example", "/x/").unwrap());
     assert_eq!(configuration.caller(&route, None), Caller::Anonymous);
--- a/tests/relay/fixture.rs
+++ b/tests/relay/fixture.rs
@@ -1,4 +1,4 @@
-//! Servers and prompts that the tests share.
+//! Servers and prompts shared by the tests.
 
 use coriandertide::decision::relay::configuration::KvCacheStore;
 use coriandertide::decision::relay::server::{ServerLoad, ServerUpdate};
@@ -48,7 +48,7 @@
     fleet
 }
 
-/// A long prompt about `subject` with a short answer.
+/// Returns a long prompt about `subject` with a short answer.
 pub fn long_prompt(subject: u64, request: u64) -> Prompt {
     let part = |id: SmolStr, tokens| PromptPart { id, tokens };
     Prompt {
@@ -64,7 +64,7 @@
     }
 }
 
-/// A short prompt with a long answer.
+/// Returns a short prompt with a long answer.
 pub fn decode_heavy_prompt(subject: u64, request: u64) -> Prompt {
     let part = |id: SmolStr, tokens| PromptPart { id, tokens };
     Prompt {
@@ -93,7 +93,7 @@
     fleet.choose(query(prompt), now).unwrap()
 }
 
-/// Puts `tokens` of unread prompts on a server, as a partner's load.
+/// Adds `tokens` of prompts not prefilled yet to a server, as a partner's load.
 pub fn load(fleet: &mut Fleet, server: &SmolStr, tokens: u32, now: Instant) {
     let unread_tokens = coriandertide::decision::relay::server::UnreadTokens::new(1, tokens);
     let load = ServerLoad { requests: 1, unread_tokens, ..ServerLoad::default() };
@@ -101,7 +101,7 @@
     fleet.apply_updates(&"partner".into(), &[update], now);
 }
 
-/// Puts requests whose prompts are read on a server, as a partner's load.
+/// Adds requests with prefilled prompts to a server, as a partner's load.
 pub fn add_requests(fleet: &mut Fleet, server: &str, requests: u32, now: Instant) {
     let load = ServerLoad { requests, ..ServerLoad::default() };
     let server = fleet.server_mut(&server.into()).unwrap();
--- a/tests/relay/health.rs
+++ b/tests/relay/health.rs
@@ -1,4 +1,4 @@
-//! Servers that are out of reach, silent, slow, or fail.
+//! Unreachable, silent, slow and failing servers.
 
 use super::fixture::ms;
 use coriandertide::decision::relay::health::{Health, ServerContact, SilenceChange};
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn a_dark_server_is_noticed_by_its_silence_within_a_second() {
+fn unresponsive_servers_are_silent_within_a_second() {
     let now = Instant::now();
     let mut health = Health::default();
     health.record_sent(1, now);
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn a_server_with_long_queues_is_not_silent_while_others_are_answered() {
+fn a_slow_request_is_not_silence_while_others_are_answered() {
     let now = Instant::now();
     let mut health = Health::default();
     health.record_sent(1, now);
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn failures_and_slowness_cost_and_fade() {
+fn failure_and_slowness_costs_decay() {
     let now = Instant::now();
     let mut health = Health::default();
     (0..10).for_each(|_| health.record_outcome(false, 0.0, now));
@@ -56,24 +56,25 @@
     assert_eq!(usual.cost_ms(now), 0.0);
 }
 
-/// Pattern: many nodes, each with a request or two at a server; a tenth of its answers is slow.
+/// Many nodes with one or two requests each at a server that answers a tenth of them slowly.
 #[test]
-fn a_server_that_other_nodes_hear_is_not_silent_for_a_node_with_one_slow_request() {
+fn contact_with_other_nodes_delays_silence() {
     let now = Instant::now();
     let mut health = Health::default();
     health.record_sent(1, now);
     let last_contact_at = Some(now + ms(900));
     let others = ServerContact { last_contact_at, unanswered_since: Some(now) };
     assert!(!health.is_silent(others, now + ms(1_000)));
-    // What reaches others does not reach this node.
+    // Answers reach other nodes, but not this one.
     let last_contact_at = Some(now + ms(1_900));
     let others = ServerContact { last_contact_at, unanswered_since: Some(now) };
     assert!(health.is_silent(others, now + ms(2_000)));
 }
 
-/// Pattern: a dark server, which each of many nodes would have to find out by a request of its own.
+/// An unresponsive server that each of many nodes would otherwise have to detect with a request of
+/// its own.
 #[test]
-fn a_server_that_is_silent_for_others_costs_until_it_is_heard() {
+fn silence_reported_by_partners_costs_until_the_next_contact() {
     let now = Instant::now();
     let mut health = Health::default();
     let last_contact_at = Some(now);
@@ -84,7 +85,8 @@
     let answered = ServerContact { last_contact_at, unanswered_since: None };
     health.update_silence(answered, now + ms(1_000));
     assert!(health.cost_ms(now + ms(1_000)) > 400.0);
-    let heard = ServerContact { last_contact_at: Some(now + ms(1_100)), unanswered_since: None };
-    assert_eq!(health.update_silence(heard, now + ms(1_200)), Some(SilenceChange::Heard));
+    let recovered =
+        ServerContact { last_contact_at: Some(now + ms(1_100)), unanswered_since: None };
+    assert_eq!(health.update_silence(recovered, now + ms(1_200)), Some(SilenceChange::Heard));
     assert_eq!(health.cost_ms(now + ms(1_200)), 0.0);
 }
--- a/tests/relay/lease.rs
+++ b/tests/relay/lease.rs
@@ -1,4 +1,4 @@
-//! The register lease: two nodes never hold it at once, whatever is lost or late.
+//! Register lease: two nodes never hold it at the same time, whatever messages are lost or late.
 
 use super::proptest_config;
 use coriandertide::decision::relay::RegisterLease;
@@ -52,15 +52,15 @@
                 }
                 Step::Wait(wait_ms) => now += Duration::from_millis(wait_ms),
             }
-            let held: Vec<_> = nodes.iter().filter_map(|node| node.fencing_number(now)).collect();
-            prop_assert!(held.len() <= 1, "{held:?}");
+            let holders: Vec<_> = nodes.iter().filter_map(|node| node.fencing_number(now)).collect();
+            prop_assert!(holders.len() <= 1, "{holders:?}");
         }
         prop_assert!(numbers.is_sorted());
     }
 }
 
 #[test]
-fn a_successor_waits_until_the_lease_must_have_lapsed() {
+fn a_successor_waits_until_the_lease_has_expired() {
     let now = Instant::now();
     let mut lease = RegisterLease::new("b".into(), LEASE_MS);
     lease.observe(RegisterRecord { number: 4, holder: "a".into() }, now);
@@ -69,7 +69,7 @@
 }
 
 #[test]
-fn a_holder_renews_keeps_and_drops_its_lease() {
+fn a_holder_renews_and_loses_its_lease() {
     let now = Instant::now();
     let mut lease = RegisterLease::new("a".into(), LEASE_MS);
     lease.observe(RegisterRecord { number: 0, holder: "".into() }, now);
--- a/tests/relay/loads.rs
+++ b/tests/relay/loads.rs
@@ -1,4 +1,4 @@
-//! Many nodes before the same servers: each knows the load of all, by messages to few.
+//! Load exchange of many nodes: each node learns the load of all by messages to few neighbours.
 
 use super::fixture::*;
 use coriandertide::decision::membership::{MemberRecord, MemberStatus, TreePlace, tree_place};
@@ -11,7 +11,7 @@
 use std::net::SocketAddr;
 use std::time::Instant;
 
-/// Neighbours that a node of the largest site planned for may have.
+/// Maximum neighbours of a node at the largest supported site.
 const MAX_NEIGHBOURS: usize = 30;
 
 fn members(nodes: u16) -> Vec<MemberRecord> {
@@ -34,20 +34,20 @@
     members.iter().map(place).collect()
 }
 
-/// Returns the nodes reached from the first one.
+/// Returns the number of nodes connected to the first one.
 fn reached(places: &BTreeMap<InstanceId, TreePlace>) -> usize {
-    let mut seen: BTreeSet<&InstanceId> = BTreeSet::new();
+    let mut visited: BTreeSet<&InstanceId> = BTreeSet::new();
     let mut next: Vec<&InstanceId> = places.keys().take(1).collect();
     while let Some(node) = next.pop() {
-        if seen.insert(node) {
+        if visited.insert(node) {
             next.extend(places[node].neighbours());
         }
     }
-    seen.len()
+    visited.len()
 }
 
 #[test]
-fn all_nodes_work_out_one_tree_with_few_neighbours_each() {
+fn all_nodes_compute_the_same_tree_with_few_neighbours() {
     for nodes in [1, 2, 3, 9, 15, 68, 84, 370] {
         let places = places(&members(nodes));
         assert_eq!(reached(&places), usize::from(nodes));
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn links_between_zones_are_as_few_as_there_are_other_zones() {
+fn the_tree_has_one_link_per_other_zone() {
     let members = members(84);
     let zone: BTreeMap<_, _> =
         members.iter().map(|m| (m.instance.clone(), m.availability_zone.clone())).collect();
@@ -75,13 +75,13 @@
 }
 
 #[test]
-fn the_loss_of_a_node_moves_few_others() {
+fn losing_a_node_moves_few_others() {
     let all = members(84);
     let before = places(&all);
     for lost in 0..84 {
-        let mut rest = all.clone();
-        rest.remove(lost);
-        let after = places(&rest);
+        let mut others = all.clone();
+        others.remove(lost);
+        let after = places(&others);
         let moved = after.iter().filter(|(node, place)| place.parent != before[*node].parent);
         assert!(moved.count() <= 84 / 3, "{lost}");
     }
@@ -103,7 +103,7 @@
         Self { now, nodes: places(&members(nodes)).into_iter().map(start).collect() }
     }
 
-    /// Lets every node tell its neighbours once; returns the number of messages.
+    /// Lets every node send to its neighbours once; returns the number of messages.
     fn round(&mut self) -> usize {
         self.now += ms(100);
         let mut sent = Vec::new();
@@ -165,9 +165,9 @@
     assert!(site.nodes.values().all(|(_, fleet)| fleet.prefixes.is_stored(77, site.now)));
 }
 
-/// Pattern: a subject's requests come through many nodes, each of which sees it once.
+/// Requests about a subject come through many nodes, each of which gets one.
 #[test]
-fn every_node_learns_which_server_read_a_prefix() {
+fn every_node_learns_which_server_cached_a_prefix() {
     let mut site = Site::new(68);
     let now = site.now;
     let server = "s4".into();
@@ -181,7 +181,7 @@
 }
 
 #[test]
-fn loads_that_do_not_change_are_told_rarely() {
+fn unchanged_loads_are_sent_rarely() {
     let mut site = Site::new(68);
     (0..8).for_each(|_| {
         site.round();
@@ -191,7 +191,7 @@
 }
 
 #[test]
-fn loads_that_go_in_a_circle_are_dropped() {
+fn loads_that_circulate_are_ignored() {
     let mut site = Site::new(9);
     let (id, (exchange, fleet)) = site.nodes.iter_mut().next().unwrap();
     let peer = exchange.neighbours().next().unwrap().clone();
--- a/tests/relay/logging.rs
+++ b/tests/relay/logging.rs
@@ -1,4 +1,4 @@
-//! A standard output that nobody reads neither delays a request nor grows memory.
+//! A blocked standard output neither delays requests nor grows memory.
 
 use coriandertide::logging::bounded::BoundedWriter;
 use prometheus_client::metrics::counter::Counter;
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn lines_beyond_the_queue_are_dropped_counted_and_told() {
+fn lines_beyond_the_queue_are_dropped_counted_and_reported() {
     let (release, released) = channel();
     let (written, lines) = channel();
     let dropped = Counter::default();
@@ -36,7 +36,7 @@
     let first_dropped = dropped.get();
     assert!((3_900..=5_000).contains(&first_dropped), "{first_dropped}");
     drop(release);
-    // The queue empties; the next line brings the note of the dropped ones.
+    // The queue empties; the next line is preceded by the number of dropped ones.
     let mut seen: Vec<String> = (0..1_024).map(|_| lines.recv().unwrap()).collect();
     while !seen.iter().any(|line| line.contains("event=log_lines_dropped lines=")) {
         writer.write_all(b"event=last\n").unwrap();
--- a/tests/relay/main.rs
+++ b/tests/relay/main.rs
@@ -1,4 +1,4 @@
-//! Decisions of the relay in virtual time, without a network.
+//! Relay decisions in virtual time, without a network.
 
 #![allow(clippy::unwrap_used, reason = "a failed step of a test is to panic")]
 
--- a/tests/relay/prefix_index.rs
+++ b/tests/relay/prefix_index.rs
@@ -1,4 +1,4 @@
-//! What is believed of kept prefixes, and the share of the store's link.
+//! Prefix index, and the share of the link to the store.
 
 use super::fixture::ms;
 use coriandertide::decision::relay::StoreLink;
@@ -8,7 +8,7 @@
 use std::time::Instant;
 
 #[test]
-fn beliefs_end_with_time_and_with_the_store() {
+fn entries_expire_and_are_cleared_with_the_store() {
     let now = Instant::now();
     let mut prefixes = PrefixIndex::default();
     prefixes.add_stored(&[1, 2], now);
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn a_prefix_is_saved_once_and_again_if_the_save_fails() {
+fn a_save_is_retried_after_a_delay() {
     let now = Instant::now();
     let mut prefixes = PrefixIndex::default();
     assert!(prefixes.needs_save(1, now));
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn memory_stays_bounded() {
+fn the_index_is_bounded() {
     let now = Instant::now();
     let mut prefixes = PrefixIndex::default();
     for key in 0..100_000 {
@@ -47,10 +47,10 @@
     assert!(stored <= 16_384, "{stored}");
 }
 
-/// Pattern: after new weights every prefix is read anew, and all requests want to save and fetch at
-/// once; the store moves one after another and makes those behind wait.
+/// After a change of weights all prefixes are recomputed, and every request wants to save and fetch
+/// at once; the store transfers one prefix after another and delays the rest.
 #[test]
-fn nodes_together_use_no_more_of_the_link_than_it_has() {
+fn nodes_together_stay_within_the_link_capacity() {
     let store = KvCacheStore {
         address: SocketAddr::from(([127, 0, 0, 1], 9)),
         availability_zone: "z".into(),
--- a/tests/relay/read_schedule.rs
+++ b/tests/relay/read_schedule.rs
@@ -1,4 +1,5 @@
-//! Who reads the record store: the calls of many nodes, and what a node learns without the others.
+//! Reads of the record store: the number of calls of many nodes, and how soon a node learns of
+//! records without partners.
 
 use super::fixture::ms;
 use coriandertide::decision::relay::{NextRead, ReadSchedule, RecordTopic};
@@ -8,7 +9,7 @@
 const TOPICS: [RecordTopic; 2] = [RecordTopic::Operator, RecordTopic::Servers];
 const TOPIC: RecordTopic = RecordTopic::Servers;
 
-/// Time by which each record has to be known, as operators are promised.
+/// Time within which each record must be known.
 const IN_FORCE_WITHIN: Duration = Duration::from_secs(3);
 
 fn ids(nodes: usize) -> Vec<SmolStr> {
@@ -26,14 +27,14 @@
         .collect()
 }
 
-/// Plays `length` with reads that answer at once or after their wait; `is_refused` names the nodes
-/// that the store turns away. Nodes tell each other of their confirmations in steps of 300 ms.
-/// Returns the calls and the greatest age of what a node knew after the first three seconds.
-fn play(nodes: usize, length: Duration, is_refused: impl Fn(usize) -> bool) -> (u32, Duration) {
+/// Simulates `length` with reads that answer when their long poll ends; the store rejects the reads
+/// of nodes for which `is_refused` holds. Nodes share their confirmations every 300 ms. Returns the
+/// number of calls and the maximum age of any node's view after the first three seconds.
+fn simulate(nodes: usize, length: Duration, is_refused: impl Fn(usize) -> bool) -> (u32, Duration) {
     let start = Instant::now();
     let mut schedules = schedules(nodes);
     let mut reading: Vec<Option<Instant>> = vec![None; nodes];
-    let (mut calls, mut oldest) = (0, Duration::ZERO);
+    let (mut calls, mut max_age) = (0, Duration::ZERO);
     for step in 0..length.as_millis() as u64 / 10 {
         let now = start + ms(step * 10);
         for (node, schedule) in schedules.iter_mut().enumerate() {
@@ -55,43 +56,43 @@
             }
         }
         if step % 30 == 0 {
-            let youngest = schedules.iter().filter_map(|schedule| schedule.age(TOPIC, now)).min();
-            if let Some(age) = youngest {
+            let min_age = schedules.iter().filter_map(|schedule| schedule.age(TOPIC, now)).min();
+            if let Some(age) = min_age {
                 schedules.iter_mut().for_each(|schedule| schedule.confirm(TOPIC, now - age));
             }
         }
         if step > 300 {
             let ages = schedules.iter().map(|schedule| schedule.age(TOPIC, now).unwrap_or(length));
-            oldest = ages.max().unwrap_or(length).max(oldest);
+            max_age = ages.max().unwrap_or(length).max(max_age);
         }
     }
-    (calls, oldest)
+    (calls, max_age)
 }
 
 #[test]
-fn the_calls_of_a_hundred_nodes_are_those_of_a_few() {
-    let (few, _) = play(8, Duration::from_secs(60), |_| false);
-    let (many, _) = play(100, Duration::from_secs(60), |_| false);
-    // All read once at the start.
-    assert!(many - 100 <= (few - 8) * 2, "{few} {many}");
-    assert!(many < 600, "{many}");
+fn calls_do_not_grow_with_the_nodes() {
+    let (few_nodes, _) = simulate(8, Duration::from_secs(60), |_| false);
+    let (many_nodes, _) = simulate(100, Duration::from_secs(60), |_| false);
+    // Every node reads once at the start.
+    assert!(many_nodes - 100 <= (few_nodes - 8) * 2, "{few_nodes} {many_nodes}");
+    assert!(many_nodes < 600, "{many_nodes}");
 }
 
 #[test]
-fn every_node_knows_in_time_that_nothing_is_newer() {
-    let (_, oldest) = play(100, Duration::from_secs(30), |_| false);
-    assert!(oldest < IN_FORCE_WITHIN, "{oldest:?}");
+fn every_view_is_confirmed_in_time() {
+    let (_, max_age) = simulate(100, Duration::from_secs(30), |_| false);
+    assert!(max_age < IN_FORCE_WITHIN, "{max_age:?}");
 }
 
 #[test]
-fn nodes_learn_in_time_while_the_store_turns_half_of_them_away() {
-    let (calls, oldest) = play(100, Duration::from_secs(30), |node| node % 2 == 0);
-    assert!(oldest < IN_FORCE_WITHIN, "{oldest:?}");
+fn views_are_confirmed_in_time_while_the_store_rejects_half_of_the_nodes() {
+    let (calls, max_age) = simulate(100, Duration::from_secs(30), |node| node % 2 == 0);
+    assert!(max_age < IN_FORCE_WITHIN, "{max_age:?}");
     assert!(calls < 2_000, "{calls}");
 }
 
 #[test]
-fn a_node_that_hears_of_nobody_reads_in_time() {
+fn a_node_without_partners_reads_in_time() {
     let now = Instant::now();
     for mut schedule in schedules(100) {
         schedule.confirm(TOPIC, now);
@@ -106,7 +107,7 @@
 }
 
 #[test]
-fn a_follower_that_the_store_turns_away_relies_on_its_partners_for_a_while() {
+fn a_rejected_follower_backs_off() {
     let now = Instant::now();
     let mut schedule = ReadSchedule::default();
     let me = SmolStr::from("me");
--- a/tests/relay/replica.rs
+++ b/tests/relay/replica.rs
@@ -1,4 +1,5 @@
-//! Records come late, twice, out of order, from the store and from partners; all replicas end alike.
+//! Records that arrive late, twice or out of order, from the store and from partners: all replicas
+//! converge.
 
 use super::proptest_config;
 use bytes::Bytes;
@@ -53,7 +54,7 @@
     #![proptest_config(proptest_config(0x4e91))]
 
     #[test]
-    fn replicas_agree_whichever_way_records_come(
+    fn replicas_converge_in_any_order(
         log in prop::collection::vec((0_u8..6, any::<bool>()), 1..40),
         steps in steps(),
     ) {
@@ -63,40 +64,40 @@
             .map(|(offset, (key, deleted))| record(offset as u64, key, deleted))
             .collect();
         let upto = |percent: usize| log.len() * percent / 100;
-        let (mut own, mut partner) = (Replica::default(), Replica::default());
+        let (mut local, mut partner) = (Replica::default(), Replica::default());
         for step in steps {
             match step {
-                // A listing may show an older state than one read before.
+                // A listing may be older than an earlier read.
                 Step::List(percent) => {
-                    own.apply_listing(TOPIC, listing(&log[..upto(percent)]));
+                    local.apply_listing(TOPIC, listing(&log[..upto(percent)]));
                 }
                 Step::Read(percent) => {
-                    if let Some(known_below) = own.known_below(TOPIC) {
+                    if let Some(known_below) = local.known_below(TOPIC) {
                         let from = known_below as usize;
                         let to = upto(percent).max(from);
-                        own.apply_records(TOPIC, log[from..to].to_vec(), to as u64);
+                        local.apply_records(TOPIC, log[from..to].to_vec(), to as u64);
                     }
                 }
                 Step::FromPartner => {
-                    if let Some(delta) = own.delta(TOPIC, partner.known_below(TOPIC)) {
+                    if let Some(delta) = local.delta(TOPIC, partner.known_below(TOPIC)) {
                         partner.apply_delta(delta);
-                        prop_assert_eq!(live(&partner), live(&own));
+                        prop_assert_eq!(live(&partner), live(&local));
                     }
                 }
             }
         }
-        own.apply_listing(TOPIC, listing(&log));
+        local.apply_listing(TOPIC, listing(&log));
         let expected: BTreeMap<_, _> =
             newest(&log).into_iter().filter(|(_, value)| value.is_some()).collect();
-        prop_assert_eq!(live(&own), expected);
+        prop_assert_eq!(live(&local), expected);
     }
 }
 
 #[test]
-fn a_part_of_a_part_does_not_pass_for_the_whole() {
-    let mut own = Replica::default();
-    own.apply_listing(TOPIC, listing(&[record(0, 1, false), record(1, 2, false)]));
-    let mut delta = own.delta(TOPIC, None).unwrap();
+fn an_incomplete_delta_does_not_raise_known_below() {
+    let mut local = Replica::default();
+    local.apply_listing(TOPIC, listing(&[record(0, 1, false), record(1, 2, false)]));
+    let mut delta = local.delta(TOPIC, None).unwrap();
     delta.records.truncate(1);
     delta.from = Some(u64::MAX);
     let mut partner = Replica::default();
--- a/tests/relay/resend.rs
+++ b/tests/relay/resend.rs
@@ -1,4 +1,4 @@
-//! All nodes together never send more requests once more than the site allows, in any window.
+//! All nodes together never exceed the resend allowance of the site in any window.
 
 use super::proptest_config;
 use coriandertide::decision::relay::ResendBudget;
@@ -16,13 +16,13 @@
         let settings = ResendSettings { ratio: 0.2, slack: 52.0, window_ms: 10_000 };
         let start = Instant::now();
         let mut budgets = vec![ResendBudget::new(settings, 6); 6];
-        let (mut firsts, mut resends, mut at) = (Vec::new(), Vec::new(), 0);
-        for (pause, node, wants) in events {
+        let (mut first_attempts, mut resends, mut at) = (Vec::new(), Vec::new(), 0);
+        for (pause, node, tries) in events {
             at += pause;
             let now = start + Duration::from_millis(at);
             budgets[node].count_first_attempt(&"s".into(), now);
-            firsts.push(at);
-            for _ in 0..wants {
+            first_attempts.push(at);
+            for _ in 0..tries {
                 if budgets[node].try_take(&"s".into(), now) {
                     resends.push(at);
                 }
@@ -30,14 +30,14 @@
         }
         for end in &resends {
             let is_within = |at: &&u64| **at <= *end && **at + 10_000 > *end;
-            let allowed = 0.2 * firsts.iter().filter(is_within).count() as f64 + 52.0;
+            let allowed = 0.2 * first_attempts.iter().filter(is_within).count() as f64 + 52.0;
             prop_assert!(resends.iter().filter(is_within).count() as f64 <= allowed);
         }
     }
 }
 
 #[test]
-fn a_quiet_node_can_send_once_more() {
+fn the_slack_allows_resends_without_first_attempts() {
     let settings = ResendSettings { ratio: 0.2, slack: 52.0, window_ms: 10_000 };
     let mut budget = ResendBudget::new(settings, 6);
     let now = Instant::now();
--- a/tests/relay/rollout.rs
+++ b/tests/relay/rollout.rs
@@ -1,4 +1,5 @@
-//! Rollouts in a world of servers that load, wait for runs, lose orders and carry them out late.
+//! Rollouts over simulated servers that load, wait for requests, lose orders and carry them out
+//! late.
 
 use super::fixture::ms;
 use coriandertide::decision::relay::rollout::{
@@ -13,9 +14,9 @@
 const LOAD_MS: u64 = 420;
 const REPORT_LAG_MS: u64 = 200;
 
-/// Server of the world; a load takes longer while more than two run.
+/// Simulated server; it loads once its requests have ended.
 #[derive(Clone, Debug)]
-struct WorldServer {
+struct SimulatedServer {
     revision: u64,
     accepted_orders: u64,
     runs_end_at: Instant,
@@ -23,24 +24,24 @@
     closed_since: Option<Instant>,
     history: Vec<(Instant, u64, u64, bool)>,
     late_orders: Vec<(Instant, u64, u64)>,
-    is_dark: bool,
+    is_unresponsive: bool,
     rejected_ms: u64,
 }
 
-struct World {
+struct Simulation {
     start: Instant,
-    servers: BTreeMap<ServerId, WorldServer>,
+    servers: BTreeMap<ServerId, SimulatedServer>,
     closed: BTreeSet<ServerId>,
     max_closed: usize,
     believed: BTreeMap<ServerId, u64>,
     ordered: u32,
     lose_every: Option<u32>,
-    keeps: u32,
+    keep_orders: u32,
 }
 
-impl World {
+impl Simulation {
     fn new(count: u16, start: Instant) -> Self {
-        let server = WorldServer {
+        let server = SimulatedServer {
             revision: 1,
             accepted_orders: 0,
             runs_end_at: start,
@@ -48,7 +49,7 @@
             closed_since: None,
             history: vec![(start, 1, 0, false)],
             late_orders: Vec::new(),
-            is_dark: false,
+            is_unresponsive: false,
             rejected_ms: 0,
         };
         let ids = (0..count).map(|index| format_smolstr!("s{index}"));
@@ -61,11 +62,11 @@
             max_closed: 0,
             ordered: 0,
             lose_every: None,
-            keeps: 0,
+            keep_orders: 0,
         }
     }
 
-    fn accept(server: &mut WorldServer, revision: u64, expected: u64, now: Instant) -> bool {
+    fn accept(server: &mut SimulatedServer, revision: u64, expected: u64, now: Instant) -> bool {
         if server.accepted_orders != expected || server.load.is_some() {
             return false;
         }
@@ -88,7 +89,7 @@
                 server.revision = revision;
                 server.load = None;
             }
-            // An open server has a run that lasts half a second; a closed one loses it.
+            // An open server has a request that lasts half a second; a closed one gets no more.
             if self.closed.contains(id) {
                 server.closed_since.get_or_insert(now);
             } else {
@@ -105,7 +106,7 @@
     }
 
     fn view(&self, revision: u64, now: Instant) -> Vec<RolloutServer> {
-        let live = self.servers.iter().filter(|(_, server)| !server.is_dark);
+        let live = self.servers.iter().filter(|(_, server)| !server.is_unresponsive);
         live.map(|(id, server)| RolloutServer {
             id: id.clone(),
             revision: self.believed[id],
@@ -117,20 +118,21 @@
 
     fn report(&self, id: &ServerId, now: Instant) -> Option<WeightsReport> {
         let server = &self.servers[id];
-        if server.is_dark {
+        if server.is_unresponsive {
             return None;
         }
-        let lagging = now.checked_sub(ms(REPORT_LAG_MS)).unwrap_or(self.start);
+        let reported_at = now.checked_sub(ms(REPORT_LAG_MS)).unwrap_or(self.start);
         let (_, revision, accepted_orders, is_busy) = *server
             .history
             .iter()
             .rev()
-            .find(|(at, ..)| *at <= lagging)
+            .find(|(at, ..)| *at <= reported_at)
             .unwrap_or(&server.history[0]);
         Some(WeightsReport { weights: [("m".into(), revision)].into(), is_busy, accepted_orders })
     }
 
-    /// Plays `length` of the rollout; returns when all servers that answer hold `revision`.
+    /// Simulates `length` of the rollout; returns when all responsive servers have loaded
+    /// `revision`.
     fn play(&mut self, rollout: &mut Rollout, revision: u64, length: Duration) -> Option<Duration> {
         let mut done_at = None;
         let mut now = self.start;
@@ -141,7 +143,7 @@
             while let Some(command) = (!queue.is_empty()).then(|| queue.remove(0)) {
                 queue.extend(self.carry_out(rollout, command, now));
             }
-            let live = self.servers.values().filter(|server| !server.is_dark);
+            let live = self.servers.values().filter(|server| !server.is_unresponsive);
             let all_changed = live.clone().all(|server| server.revision >= revision);
             if all_changed && self.closed.is_empty() {
                 done_at.get_or_insert(now - self.start);
@@ -172,7 +174,7 @@
             }
             RolloutCommand::Order { server: id, accepted_orders, runs } => {
                 self.ordered += 1;
-                self.keeps += u32::from(runs == RunPolicy::Keep);
+                self.keep_orders += u32::from(runs == RunPolicy::Keep);
                 let revision = rollout.revision();
                 let is_lost =
                     self.lose_every.is_some_and(|every| self.ordered.is_multiple_of(every));
@@ -207,57 +209,57 @@
 }
 
 #[test]
-fn twelve_servers_change_within_four_seconds_and_a_third_stays_closed_at_most() {
-    let mut world = World::new(12, Instant::now());
-    let took = world.play(&mut rollout(), 2, ms(8_000)).unwrap();
+fn twelve_servers_load_within_four_seconds_with_at_most_a_third_closed() {
+    let mut simulation = Simulation::new(12, Instant::now());
+    let took = simulation.play(&mut rollout(), 2, ms(8_000)).unwrap();
     assert!(took < ms(4_000), "{took:?}");
-    assert!(world.max_closed <= 4, "{}", world.max_closed);
-    assert_eq!((world.ordered, world.keeps), (12, 0));
+    assert!(simulation.max_closed <= 4, "{}", simulation.max_closed);
+    assert_eq!((simulation.ordered, simulation.keep_orders), (12, 0));
 }
 
 #[test]
-fn a_single_server_changes_too() {
-    let mut world = World::new(1, Instant::now());
-    assert!(world.play(&mut rollout(), 2, ms(4_000)).is_some());
+fn a_single_server_is_updated() {
+    let mut simulation = Simulation::new(1, Instant::now());
+    assert!(simulation.play(&mut rollout(), 2, ms(4_000)).is_some());
 }
 
 #[test]
-fn no_open_server_loads_unless_an_order_comes_late() {
-    let mut world = World::new(12, Instant::now());
-    world.play(&mut rollout(), 2, ms(8_000));
-    let rejected: u64 = world.servers.values().map(|server| server.rejected_ms).sum();
+fn no_open_server_loads() {
+    let mut simulation = Simulation::new(12, Instant::now());
+    simulation.play(&mut rollout(), 2, ms(8_000));
+    let rejected: u64 = simulation.servers.values().map(|server| server.rejected_ms).sum();
     assert_eq!(rejected, 0);
 }
 
-/// Pattern: workers leave half of the orders unanswered and carry them out seconds later.
+/// Servers leave half of the orders unanswered and carry them out seconds later.
 #[test]
-fn lost_and_late_orders_end_in_the_newest_weights_everywhere() {
-    let mut world = World::new(12, Instant::now());
-    world.lose_every = Some(2);
-    let took = world.play(&mut rollout(), 2, ms(12_000)).unwrap();
+fn all_servers_are_updated_despite_lost_and_late_orders() {
+    let mut simulation = Simulation::new(12, Instant::now());
+    simulation.lose_every = Some(2);
+    let took = simulation.play(&mut rollout(), 2, ms(12_000)).unwrap();
     assert!(took < ms(8_000), "{took:?}");
-    assert!(world.servers.values().all(|server| server.revision == 2));
+    assert!(simulation.servers.values().all(|server| server.revision == 2));
 }
 
-/// Pattern: a quarter of the servers is dark; they must not hold the places of the others.
+/// A quarter of the servers is unresponsive and must not block the batches of the others.
 #[test]
-fn dark_servers_do_not_hold_up_the_others() {
-    let mut world = World::new(12, Instant::now());
+fn unresponsive_servers_do_not_block_the_others() {
+    let mut simulation = Simulation::new(12, Instant::now());
     for index in 0..3 {
-        world.servers.get_mut(&format_smolstr!("s{index}")).unwrap().is_dark = true;
+        simulation.servers.get_mut(&format_smolstr!("s{index}")).unwrap().is_unresponsive = true;
     }
-    let took = world.play(&mut rollout(), 2, ms(8_000)).unwrap();
+    let took = simulation.play(&mut rollout(), 2, ms(8_000)).unwrap();
     assert!(took < ms(4_000), "{took:?}");
 }
 
 #[test]
-fn a_revision_named_meanwhile_replaces_the_one_under_way() {
-    let mut world = World::new(12, Instant::now());
+fn a_newer_revision_replaces_the_running_rollout() {
+    let mut simulation = Simulation::new(12, Instant::now());
     let mut rollout = rollout();
-    assert_eq!(world.play(&mut rollout, 9, ms(1_000)), None);
+    assert_eq!(simulation.play(&mut rollout, 9, ms(1_000)), None);
     rollout.retarget(3);
-    world.start += ms(1_000);
-    let took = world.play(&mut rollout, 3, ms(8_000)).unwrap();
+    simulation.start += ms(1_000);
+    let took = simulation.play(&mut rollout, 3, ms(8_000)).unwrap();
     assert!(took < ms(6_000), "{took:?}");
-    assert!(world.servers.values().all(|server| server.revision == 3));
+    assert!(simulation.servers.values().all(|server| server.revision == 3));
 }
--- a/tests/relay/settings.rs
+++ b/tests/relay/settings.rs
@@ -1,4 +1,4 @@
-//! Settings: the committed schema, and all faults at once.
+//! Relay settings: the committed schema is current, and all errors are reported at once.
 
 use coriandertide::relay::{RawRelaySettings, RelaySettings};
 use serde_json::{Value, json};
@@ -28,13 +28,13 @@
 }
 
 #[test]
-fn valid_settings_are_taken() {
+fn valid_settings_are_accepted() {
     let settings = check(valid()).unwrap();
     assert_eq!(settings.resend.window_ms, 10_000);
 }
 
 #[test]
-fn all_faults_are_named_at_once() {
+fn all_errors_are_reported_at_once() {
     let mut settings = valid();
     settings["partner_key"] = json!("short");
     settings["seed_partners"] = json!(["127.0.0.1:1", "nowhere"]);
--- a/tests/relay/trace.rs
+++ b/tests/relay/trace.rs
@@ -1,4 +1,4 @@
-//! The story of a request from the logs of several nodes.
+//! Trace of a request from the logs of several nodes.
 
 use coriandertide::cli::trace::story;
 
@@ -13,7 +13,7 @@
 ";
 
 #[test]
-fn a_story_holds_the_request_and_what_happened_to_its_servers() {
+fn a_trace_contains_the_request_and_its_servers() {
     insta::assert_snapshot!(story(LOGS.as_bytes(), "aa").unwrap(), @r"
       +0 ms  2.0 n1                       event=routed request=aa route=r server=s1 cost_ms=40
     +700 ms  2.1 n1                       event=attempt_failed request=aa route=r step=read_head
@@ -23,6 +23,6 @@
 }
 
 #[test]
-fn an_unknown_request_is_said_so() {
+fn unknown_requests_are_reported() {
     assert_eq!(story(LOGS.as_bytes(), "cc").unwrap(), "no line names request cc\n");
 }
