--- a/src/decision/claims/fold.rs
+++ b/src/decision/claims/fold.rs
@@ -1,4 +1,4 @@
-//! Fold of the log stream `claims`: who owns which key, the same on every node.
+//! Fold of the log stream `claims`: computes the same owner of each key on every node.
 
 use super::record::{ClaimEntry, ClaimId, DecodedRecord, Fingerprint, KeyHash, decode_record};
 use crate::ports::{LogPage, LogRecord};
@@ -6,27 +6,27 @@
 use std::collections::{HashMap, VecDeque};
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// Owner of a key.
+/// Claim that owns a key, and the call that it was made for.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct KeyOwner {
-    /// Claim that owns the key.
+    /// Owning claim.
     pub claim: ClaimId,
-    /// Fingerprint of the owner's call.
+    /// Fingerprint of the claimed call.
     pub fingerprint: Fingerprint,
 }
 
-/// Outcome of an entry.
+/// Effect of an entry on the owner of its key.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum FoldedEntry {
-    /// The claim owns its key.
-    Owns {
+pub enum EntryOutcome {
+    /// The claim is the first one on a free key and now owns it.
+    Acquired {
         /// Claim.
         claim: ClaimId,
         /// Key.
         key: KeyHash,
     },
     /// An earlier claim owns the key.
-    Lost {
+    Rejected {
         /// Claim.
         claim: ClaimId,
         /// Key.
@@ -34,7 +34,7 @@
         /// Owner of the key.
         owner: KeyOwner,
     },
-    /// The claim gave the key free.
+    /// The owning claim released the key.
     Released {
         /// Claim.
         claim: ClaimId,
@@ -43,53 +43,58 @@
     },
 }
 
+/// Owner of a key, and the append time of its latest claim.
 #[derive(Debug, Default)]
-struct KeyClaims {
+struct KeyState {
     owner: Option<KeyOwner>,
-    last_ms: u64,
+    last_claim_unix_ms: u64,
 }
 
+/// Position of a claim in the log.
 #[derive(Debug)]
-struct SeenRecord {
+struct LoggedClaim {
     offset: LogOffset,
-    appended_ms: u64,
+    appended_unix_ms: u64,
     key: KeyHash,
 }
 
-/// Fold of the stream, bounded by the memory of claims.
+/// Owners of all keys that were claimed within the deduplication window.
 #[derive(Debug)]
 pub struct ClaimFold {
     dedup_window_ms: u64,
     next_offset: Option<LogOffset>,
-    /// When the fold last held every record that the log kept.
+    /// When the fold last included every record on the log.
     caught_up_at: Option<Instant>,
-    latest_ms: u64,
-    /// Until when claims may be hidden by unreadable or lost records.
-    hidden_until: Option<Instant>,
-    retention_short: bool,
-    keys: HashMap<KeyHash, KeyClaims>,
-    seen: VecDeque<SeenRecord>,
+    latest_append_unix_ms: u64,
+    /// Until when claims in unreadable or lost records may still be within the window.
+    may_lack_claims_until: Option<Instant>,
+    /// Whether the log has dropped claims that are within the window.
+    is_log_retention_short: bool,
+    keys: HashMap<KeyHash, KeyState>,
+    /// Claims within the window, in log order.
+    logged_claims: VecDeque<LoggedClaim>,
 }
 
 impl ClaimFold {
-    /// Returns an empty fold that remembers claims for `dedup_window_ms` of the log's clock.
+    /// Returns an empty fold that tracks a key until the log's clock is `dedup_window_ms` past the
+    /// key's last claim.
     pub fn new(dedup_window_ms: u64) -> Self {
         Self {
             dedup_window_ms,
             next_offset: None,
             caught_up_at: None,
-            latest_ms: 0,
-            hidden_until: None,
-            retention_short: false,
+            latest_append_unix_ms: 0,
+            may_lack_claims_until: None,
+            is_log_retention_short: false,
             keys: HashMap::new(),
-            seen: VecDeque::new(),
+            logged_claims: VecDeque::new(),
         }
     }
 
-    /// Whether earlier claims may be hidden: by records of a newer build, or by a log that keeps
-    /// records for less time than the settings say.
-    pub fn is_blind(&self, now: Instant) -> bool {
-        self.retention_short || self.hidden_until.is_some_and(|until| now < until)
+    /// Whether the fold may lack claims within the window: because of records of a newer build, or
+    /// of a log that keeps records for less time than the settings say.
+    pub fn may_lack_claims(&self, now: Instant) -> bool {
+        self.is_log_retention_short || self.may_lack_claims_until.is_some_and(|until| now < until)
     }
 
     /// Offset of the next record to read.
@@ -97,75 +102,76 @@
         self.next_offset.unwrap_or(1)
     }
 
-    /// Latest time of the log's clock that was seen.
-    pub fn latest(&self) -> SystemTime {
-        UNIX_EPOCH + Duration::from_millis(self.latest_ms)
+    /// Latest append time of a record, by the log's clock.
+    pub fn latest_append_at(&self) -> SystemTime {
+        UNIX_EPOCH + Duration::from_millis(self.latest_append_unix_ms)
     }
 
-    /// Owner of `key`.
+    /// Returns the owner of `key`.
     pub fn owner(&self, key: KeyHash) -> Option<KeyOwner> {
-        self.keys.get(&key).and_then(|claims| claims.owner)
+        self.keys.get(&key).and_then(|state| state.owner)
     }
 
-    /// Number of keys remembered.
+    /// Number of tracked keys.
     pub fn len(&self) -> usize {
         self.keys.len()
     }
 
-    /// Whether no key is remembered.
+    /// Whether no key is tracked.
     pub fn is_empty(&self) -> bool {
         self.keys.is_empty()
     }
 
-    /// Folds `page` and returns the outcomes in log order; a page that does not continue the fold
-    /// changes nothing.
-    pub fn apply(&mut self, page: &LogPage, now: Instant) -> Vec<FoldedEntry> {
-        let mut folded = Vec::new();
+    /// Folds `page` and returns the outcomes of its entries in log order. A page with a gap after
+    /// the last folded record changes nothing.
+    pub fn apply(&mut self, page: &LogPage, now: Instant) -> Vec<EntryOutcome> {
+        let mut outcomes = Vec::new();
         let next_offset = self.next_offset.unwrap_or(page.first_offset);
         if page.first_offset > next_offset {
-            self.skip_lost(page.first_offset, now);
+            self.skip_expired(page.first_offset, now);
         } else {
             self.next_offset = Some(next_offset);
         }
         if page.records.first().is_some_and(|record| record.offset > self.next_offset()) {
-            return folded;
+            return outcomes;
         }
         for record in &page.records {
-            self.fold_record(record, now, &mut folded);
+            self.fold_record(record, now, &mut outcomes);
         }
         if page.next_offset == self.next_offset() {
             self.caught_up_at = Some(now);
         }
-        self.forget_old();
+        self.drop_expired();
         self.check_retention(page.first_offset);
-        folded
+        outcomes
     }
 
-    /// Goes on at `first_offset` after records expired unread. A log that drops records before
-    /// their time may have hidden claims that still count.
-    fn skip_lost(&mut self, first_offset: LogOffset, now: Instant) {
-        let memory = Duration::from_millis(self.dedup_window_ms);
-        if self.caught_up_at.is_some_and(|caught_up_at| now < caught_up_at + memory) {
-            self.hidden_until = Some(now + memory);
+    /// Continues at `first_offset` after records expired unread. If they expired within a window
+    /// after the last complete read, claims that still count may be lost.
+    fn skip_expired(&mut self, first_offset: LogOffset, now: Instant) {
+        let dedup_window = Duration::from_millis(self.dedup_window_ms);
+        if self.caught_up_at.is_some_and(|caught_up_at| now < caught_up_at + dedup_window) {
+            self.may_lack_claims_until = Some(now + dedup_window);
         }
         self.next_offset = Some(first_offset);
     }
 
-    fn fold_record(&mut self, record: &LogRecord, now: Instant, folded: &mut Vec<FoldedEntry>) {
+    fn fold_record(&mut self, record: &LogRecord, now: Instant, outcomes: &mut Vec<EntryOutcome>) {
         if record.offset != self.next_offset() {
             return;
         }
         self.next_offset = Some(record.offset + 1);
-        let appended_ms = unix_ms(record.appended_at);
-        self.latest_ms = self.latest_ms.max(appended_ms);
+        let appended_unix_ms = unix_ms(record.appended_at);
+        self.latest_append_unix_ms = self.latest_append_unix_ms.max(appended_unix_ms);
         match decode_record(&record.payload) {
             DecodedRecord::Batch(entries) => {
                 for entry in entries {
-                    folded.extend(self.fold_entry(entry, record.offset, appended_ms));
+                    outcomes.extend(self.fold_entry(entry, record.offset, appended_unix_ms));
                 }
             }
             DecodedRecord::Newer => {
-                self.hidden_until = Some(now + Duration::from_millis(self.dedup_window_ms));
+                self.may_lack_claims_until =
+                    Some(now + Duration::from_millis(self.dedup_window_ms));
             }
             DecodedRecord::Foreign => {}
         }
@@ -175,23 +181,23 @@
         &mut self,
         entry: ClaimEntry,
         offset: LogOffset,
-        appended_ms: u64,
-    ) -> Option<FoldedEntry> {
+        appended_unix_ms: u64,
+    ) -> Option<EntryOutcome> {
         match entry {
             ClaimEntry::Claim { claim, key, fingerprint } => {
-                self.seen.push_back(SeenRecord { offset, appended_ms, key });
-                let oldest_ms = self.oldest_ms();
-                let claims = self.keys.entry(key).or_default();
-                if claims.last_ms < oldest_ms {
-                    *claims = KeyClaims::default();
+                self.logged_claims.push_back(LoggedClaim { offset, appended_unix_ms, key });
+                let window_start_unix_ms = self.window_start_unix_ms();
+                let state = self.keys.entry(key).or_default();
+                if state.last_claim_unix_ms < window_start_unix_ms {
+                    *state = KeyState::default();
                 }
-                claims.last_ms = claims.last_ms.max(appended_ms);
+                state.last_claim_unix_ms = state.last_claim_unix_ms.max(appended_unix_ms);
                 self.fold_claim(claim, key, fingerprint)
             }
             ClaimEntry::Release { claim, key } => {
-                let claims = self.keys.get_mut(&key)?;
-                claims.owner.take_if(|owner| owner.claim == claim)?;
-                Some(FoldedEntry::Released { claim, key })
+                let state = self.keys.get_mut(&key)?;
+                state.owner.take_if(|owner| owner.claim == claim)?;
+                Some(EntryOutcome::Released { claim, key })
             }
         }
     }
@@ -201,38 +207,47 @@
         claim: ClaimId,
         key: KeyHash,
         fingerprint: Fingerprint,
-    ) -> Option<FoldedEntry> {
-        let claims = self.keys.get_mut(&key)?;
-        match claims.owner {
+    ) -> Option<EntryOutcome> {
+        let state = self.keys.get_mut(&key)?;
+        match state.owner {
             Some(owner) if owner.claim == claim => None,
-            Some(owner) => Some(FoldedEntry::Lost { claim, key, owner }),
+            Some(owner) => Some(EntryOutcome::Rejected { claim, key, owner }),
             None => {
-                claims.owner = Some(KeyOwner { claim, fingerprint });
-                Some(FoldedEntry::Owns { claim, key })
+                state.owner = Some(KeyOwner { claim, fingerprint });
+                Some(EntryOutcome::Acquired { claim, key })
             }
         }
     }
 
-    /// Time before which claims are forgotten.
-    fn oldest_ms(&self) -> u64 {
-        self.latest_ms.saturating_sub(self.dedup_window_ms)
+    /// Start of the deduplication window.
+    fn window_start_unix_ms(&self) -> u64 {
+        self.latest_append_unix_ms.saturating_sub(self.dedup_window_ms)
     }
 
-    /// Forgets keys whose last claim is older than the memory.
-    fn forget_old(&mut self) {
-        let oldest_ms = self.oldest_ms();
-        while self.seen.front().is_some_and(|seen| seen.appended_ms < oldest_ms) {
-            let Some(seen) = self.seen.pop_front() else { return };
-            if self.keys.get(&seen.key).is_some_and(|claims| claims.last_ms < oldest_ms) {
-                self.keys.remove(&seen.key);
+    /// Removes keys whose last claim is older than the window.
+    fn drop_expired(&mut self) {
+        let window_start_unix_ms = self.window_start_unix_ms();
+        while self
+            .logged_claims
+            .front()
+            .is_some_and(|logged| logged.appended_unix_ms < window_start_unix_ms)
+        {
+            let Some(logged) = self.logged_claims.pop_front() else { return };
+            if self
+                .keys
+                .get(&logged.key)
+                .is_some_and(|state| state.last_claim_unix_ms < window_start_unix_ms)
+            {
+                self.keys.remove(&logged.key);
             }
         }
     }
 
-    /// Notes whether the log dropped a record that must still be remembered; a node that starts
-    /// now could not know of it.
+    /// Checks whether the log has dropped a claim within the window: a node that starts now could
+    /// not read it.
     fn check_retention(&mut self, first_offset: LogOffset) {
-        self.retention_short = self.seen.front().is_some_and(|seen| seen.offset < first_offset);
+        self.is_log_retention_short =
+            self.logged_claims.front().is_some_and(|logged| logged.offset < first_offset);
     }
 }
 
--- a/src/decision/claims/kept_answers.rs
+++ b/src/decision/claims/kept_answers.rs
@@ -1,51 +1,52 @@
-//! Answers kept for callers that send again, bounded in bytes.
+//! Answers kept in memory for retries of calls that have run, bounded in bytes.
 
 use super::record::KeyHash;
 use crate::ports::ServiceResponse;
 use std::collections::{HashMap, VecDeque};
 use std::sync::Arc;
 
-/// Kept answers, oldest dropped first.
+/// Answers by key; the oldest are evicted first.
 #[derive(Debug)]
 pub struct KeptAnswers {
-    limit_bytes: usize,
-    kept_bytes: usize,
+    max_bytes: usize,
+    used_bytes: usize,
     answers: HashMap<KeyHash, Arc<ServiceResponse>>,
-    order: VecDeque<KeyHash>,
+    /// Keys, oldest answer first.
+    insertion_order: VecDeque<KeyHash>,
 }
 
 impl KeptAnswers {
-    /// Returns an empty store of at most `limit_bytes`.
-    pub fn new(limit_bytes: usize) -> Self {
-        Self { limit_bytes, kept_bytes: 0, answers: HashMap::new(), order: VecDeque::new() }
+    /// Returns an empty store of at most `max_bytes`.
+    pub fn new(max_bytes: usize) -> Self {
+        Self { max_bytes, used_bytes: 0, answers: HashMap::new(), insertion_order: VecDeque::new() }
     }
 
-    /// Keeps `answer` unless it alone exceeds the limit.
+    /// Stores `answer` under `key`, unless it alone exceeds the limit.
     pub fn insert(&mut self, key: KeyHash, answer: &Arc<ServiceResponse>) {
         self.remove(key);
         let bytes = answer_bytes(answer);
-        if bytes > self.limit_bytes {
+        if bytes > self.max_bytes {
             return;
         }
-        while self.kept_bytes + bytes > self.limit_bytes {
-            let Some(oldest) = self.order.front().copied() else { return };
+        while self.used_bytes + bytes > self.max_bytes {
+            let Some(oldest) = self.insertion_order.front().copied() else { return };
             self.remove(oldest);
         }
-        self.kept_bytes += bytes;
+        self.used_bytes += bytes;
         self.answers.insert(key, Arc::clone(answer));
-        self.order.push_back(key);
+        self.insertion_order.push_back(key);
     }
 
-    /// Answer kept for `key`.
+    /// Returns the answer stored under `key`.
     pub fn get(&self, key: KeyHash) -> Option<Arc<ServiceResponse>> {
         self.answers.get(&key).cloned()
     }
 
-    /// Drops the answer for `key`.
+    /// Removes the answer stored under `key`.
     pub fn remove(&mut self, key: KeyHash) {
         let Some(answer) = self.answers.remove(&key) else { return };
-        self.kept_bytes -= answer_bytes(&answer);
-        self.order.retain(|kept| *kept != key);
+        self.used_bytes -= answer_bytes(&answer);
+        self.insertion_order.retain(|stored_key| *stored_key != key);
     }
 }
 
--- a/src/decision/claims/key_created_at.rs
+++ b/src/decision/claims/key_created_at.rs
@@ -1,4 +1,4 @@
-//! Creation time that an idempotency key may carry.
+//! Creation time embedded in an idempotency key.
 
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
@@ -6,11 +6,10 @@
 const UUID_CHARS: usize = 36;
 /// Position of the version digit in a UUID.
 const UUID_VERSION_CHAR: usize = 14;
-/// Hexadecimal digits of the time in milliseconds at the start of a UUID of version 7.
+/// Leading hexadecimal digits of a UUID of version 7 that hold its Unix time in milliseconds.
 const UUID_TIME_DIGITS: usize = 12;
 
-/// Returns the creation time of a key that is a UUID of version 7 (RFC 9562); other keys carry
-/// none.
+/// Returns the creation time of a key that is a UUID of version 7 (RFC 9562), none for other keys.
 pub fn key_created_at(key: &str) -> Option<SystemTime> {
     if key.len() != UUID_CHARS || !key.is_ascii() || key.as_bytes()[UUID_VERSION_CHAR] != b'7' {
         return None;
--- a/src/decision/claims/local.rs
+++ b/src/decision/claims/local.rs
@@ -1,4 +1,4 @@
-//! Claims that this node has made and not yet forgotten.
+//! Claims that this node has made.
 
 use super::fold::KeyOwner;
 use super::messages::{ClaimCommand, ClaimRequest, ClaimVerdict, NotRunReason, UnknownReason};
@@ -6,40 +6,40 @@
 use crate::types::RequestId;
 use std::time::{Instant, SystemTime};
 
-/// Claim of this node.
+/// Claim made by this node.
 #[derive(Debug)]
 pub(super) struct LocalClaim {
     pub claim: ClaimId,
     pub fingerprint: Fingerprint,
     pub key_created_at: Option<SystemTime>,
     pub phase: Phase,
-    /// Sendings of the call that wait for a verdict.
+    /// Requests of the call that wait for a verdict.
     pub callers: Vec<Caller>,
 }
 
-/// Phase of a claim.
+/// Phase of a local claim.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(super) enum Phase {
-    /// The claim is queued or appended, and its fate has not been read.
-    Waiting { reuse_until: Instant },
-    /// All callers were told "not run"; the record may still turn up on the log.
-    GivenUp { reuse_until: Instant },
-    /// The claim owns the key, was not run, and its release is on the way.
-    Releasing { forget_at: Instant },
-    /// The call is under way.
-    Running { forget_at: Instant },
+    /// The claim is queued or appended, and its record has not been read from the log.
+    Pending { reuse_until: Instant },
+    /// All callers got the verdict "not run"; the record may still appear on the log.
+    TimedOut { reuse_until: Instant },
+    /// The claim owns the key, was not run, and its release is being appended.
+    Releasing { remove_at: Instant },
+    /// The call is running.
+    Running { remove_at: Instant },
     /// The call ended and may have run.
-    Ended { forget_at: Instant },
+    Ended { remove_at: Instant },
 }
 
-/// Sending of a call.
+/// Request that waits for the verdict on its call.
 #[derive(Debug)]
 pub(super) struct Caller {
     pub request_id: RequestId,
     pub deadline: Instant,
 }
 
-/// Time at which something about a key falls due.
+/// Time at which the local claim of a key is checked for expired callers and for removal.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub(super) struct KeyDeadline {
     pub at: Instant,
@@ -47,35 +47,35 @@
 }
 
 impl LocalClaim {
-    /// Returns a claim that waits for its fate, without callers.
+    /// Returns a pending claim without callers.
     pub fn new(claim: ClaimId, request: &ClaimRequest, reuse_until: Instant) -> Self {
         Self {
             claim,
             fingerprint: request.fingerprint,
             key_created_at: request.key_created_at,
-            phase: Phase::Waiting { reuse_until },
+            phase: Phase::Pending { reuse_until },
             callers: Vec::new(),
         }
     }
 
-    /// Entry to append.
+    /// Returns the log entry that claims `key`.
     pub fn entry(&self, key: KeyHash) -> ClaimEntry {
         ClaimEntry::Claim { claim: self.claim, key, fingerprint: self.fingerprint }
     }
 
-    /// Whether the claim waits for its fate.
-    pub fn is_waiting(&self) -> bool {
-        matches!(self.phase, Phase::Waiting { .. })
+    /// Whether the claim's record has not been read and a caller still waits for it.
+    pub fn is_pending(&self) -> bool {
+        matches!(self.phase, Phase::Pending { .. })
     }
 }
 
-/// Verdict on a call that is not run.
+/// Returns the verdict "not run".
 pub(super) fn not_run(reason: NotRunReason, retry_at: Option<Instant>) -> ClaimVerdict {
     ClaimVerdict::NotRun { reason, retry_at }
 }
 
-/// Verdict on a call whose key another claim owns.
-pub(super) fn owned_verdict(owner: KeyOwner, fingerprint: Fingerprint) -> ClaimVerdict {
+/// Verdict on a call with `fingerprint` whose key belongs to the claim of `owner`.
+pub(super) fn verdict_for_owned_key(owner: KeyOwner, fingerprint: Fingerprint) -> ClaimVerdict {
     if owner.fingerprint == fingerprint {
         ClaimVerdict::OutcomeUnknown(UnknownReason::ClaimedElsewhere)
     } else {
@@ -83,8 +83,8 @@
     }
 }
 
-/// Gives all callers the same verdict.
-pub(super) fn answer_all(
+/// Adds a command that sends `verdict` to each caller.
+pub(super) fn send_verdict(
     callers: Vec<Caller>,
     verdict: &ClaimVerdict,
     commands: &mut Vec<ClaimCommand>,
--- a/src/decision/claims/messages.rs
+++ b/src/decision/claims/messages.rs
@@ -7,42 +7,42 @@
 use std::time::{Instant, SystemTime};
 use strum::{Display, IntoStaticStr};
 
-/// Call that needs a claim before it may run.
+/// Request for permission to run a call, identified by its idempotency key.
 #[derive(Clone, Debug)]
 pub struct ClaimRequest {
-    /// Request.
+    /// Id of the request.
     pub request_id: RequestId,
-    /// Key.
+    /// Idempotency key of the call.
     pub key: KeyHash,
     /// Fingerprint of the call.
     pub fingerprint: Fingerprint,
-    /// Creation time that the key carries.
+    /// Creation time embedded in the key, if any.
     pub key_created_at: Option<SystemTime>,
-    /// When the caller's wait ends.
+    /// When the request times out.
     pub deadline: Instant,
 }
 
 /// Event that changes the claims state.
 #[derive(Clone, Debug)]
 pub enum ClaimEvent {
-    /// A call asks to run.
+    /// A request needs a verdict.
     Begin(ClaimRequest),
     /// The append of a batch ended.
     AppendEnded {
         /// Number of the batch.
         batch: u64,
-        /// Offset, or none if the append may or may not have taken effect.
+        /// Offset of the record, or none if the append may or may not have taken effect.
         offset: Option<LogOffset>,
     },
     /// A page of the stream was read.
     Page(LogPage),
-    /// A call that was told to run ended.
+    /// A call with the verdict [`ClaimVerdict::Run`] ended.
     RunEnded {
         /// Claim of the call.
         claim: ClaimId,
         /// Key of the call.
         key: KeyHash,
-        /// Ending.
+        /// How the call ended.
         ending: RunEnding,
     },
     /// The number of live nodes, this one included, changed.
@@ -51,63 +51,64 @@
     Tick,
 }
 
-/// How a call that was told to run ended.
+/// How a call with the verdict [`ClaimVerdict::Run`] ended.
 #[derive(Clone, Debug)]
 pub enum RunEnding {
     /// The service answered.
     Answer(Arc<ServiceResponse>),
-    /// No byte reached a server, or the server says that it did not act.
+    /// No byte reached the service, or the service reports that it did not act.
     NotRun,
     /// The service may have acted.
     OutcomeUnknown,
 }
 
-/// What the caller of the decision must do.
+/// Command of the claims decision.
 #[derive(Clone, Debug)]
 pub enum ClaimCommand {
-    /// Append a batch, and report the end under its number.
+    /// Append the batch and report the result with [`ClaimEvent::AppendEnded`].
     Append {
         /// Number of the batch.
         batch: u64,
         /// Entries.
         entries: Vec<ClaimEntry>,
     },
-    /// Read the stream until the record at this offset has been seen.
+    /// Read the stream at least up to the record at this offset.
     ReadThrough(LogOffset),
-    /// Tell a request its verdict. Each request gets exactly one.
+    /// Send the verdict to the request. Each request gets exactly one.
     Verdict {
-        /// Request.
+        /// Id of the request.
         request_id: RequestId,
         /// Verdict.
         verdict: ClaimVerdict,
     },
 }
 
-/// Verdict on a call.
+/// Verdict on a request for a call.
 #[derive(Clone, Debug)]
 pub enum ClaimVerdict {
-    /// Send the call once, unless `start_deadline` has passed, and report how it ended.
+    /// Send the call once, unless `start_deadline` has passed, and report how it ended with
+    /// [`ClaimEvent::RunEnded`].
     Run {
         /// Claim that owns the key.
         claim: ClaimId,
-        /// When the call must have been started; past it the call ends as not run.
+        /// Latest start of the call; after it the call counts as not run.
         start_deadline: Instant,
     },
-    /// The call ran for an earlier sending; this is its answer.
+    /// The call ran for an earlier request; this is its answer.
     Answer(Arc<ServiceResponse>),
-    /// This sending of the call was not run and will not be.
+    /// The call was not run for this request and will not be.
     NotRun {
         /// Reason.
         reason: NotRunReason,
-        /// When the caller may send again, if that can help.
+        /// When the caller may retry, none if a retry cannot succeed.
         retry_at: Option<Instant>,
     },
-    /// An earlier sending of the call may have run.
+    /// The call may have run for an earlier request.
     OutcomeUnknown(UnknownReason),
 }
 
 impl ClaimVerdict {
-    /// Reason of the verdict, for metrics.
+    /// Label of the verdict in metrics.
     pub fn reason(&self) -> &'static str {
         match self {
             Self::Run { .. } => "run",
@@ -122,21 +123,21 @@
 #[derive(Clone, Copy, Debug, Display, Eq, IntoStaticStr, PartialEq)]
 #[strum(serialize_all = "snake_case")]
 pub enum NotRunReason {
-    /// The log takes no appends or is not readable.
+    /// Appends to the log fail.
     LogDown,
-    /// The claim was not decided in time.
+    /// The claim was not read back from the log in time.
     ClaimTimeout,
-    /// The time that the key carries lies in the future.
+    /// The creation time in the key lies in the future.
     KeyFromFuture,
-    /// The key was used for another call.
+    /// The key was already used for a call with another fingerprint.
     KeyReused,
     /// An earlier claim of the key is being released.
     Releasing,
-    /// Too many calls wait for claims.
+    /// Too many claims are pending.
     Overloaded,
-    /// Records were lost or cannot be read, so that earlier claims may be hidden.
+    /// Records were lost or cannot be read, so that earlier claims may be unknown.
     ClaimsHidden,
-    /// The earlier sending that this one waited for was not run.
+    /// This request waited for an earlier one, for which the call was not run.
     EarlierNotRun,
 }
 
@@ -144,13 +145,13 @@
 #[derive(Clone, Copy, Debug, Display, Eq, IntoStaticStr, PartialEq)]
 #[strum(serialize_all = "snake_case")]
 pub enum UnknownReason {
-    /// Another node, or an earlier run of this one, owns the key.
+    /// The claim that owns the key was made by another node, or by this node before a restart.
     ClaimedElsewhere,
-    /// The call ran here, but its answer is no longer kept or was not received.
+    /// The call ran on this node, but its answer was not received or is no longer kept.
     AnswerNotKept,
-    /// The call is still under way here.
+    /// The call is still running on this node.
     UnderWay,
-    /// The key is older than the age up to which keys hold. This sending was not run; whether an
-    /// earlier one was is forgotten.
+    /// The key is older than the maximum age. The call was not run for this request, but may have
+    /// run for an earlier one.
     KeyTooOld,
 }
--- a/src/decision/claims/mod.rs
+++ b/src/decision/claims/mod.rs
@@ -1,7 +1,8 @@
-//! At most one run of a non-idempotent call: claims of idempotency keys in the order of the log.
+//! Claims of idempotency keys, so that a non-idempotent call runs at most once.
 //!
-//! A claim is appended before the call is sent; the first claim on a free key, in log order, owns
-//! it. Ownership is learnt from reading the log alone, never from the answer to an append.
+//! A node appends a claim to the log before it sends the call; the first claim on a free key, in
+//! log order, owns the key. Only records read from the log decide ownership, not the answer to an
+//! append: an append without an answer may still have taken effect.
 
 pub mod append_queue;
 mod begin;
@@ -27,20 +28,22 @@
 use std::collections::{BTreeSet, HashMap};
 use std::time::{Duration, Instant};
 
-/// Wait that a refused caller is told if the log is up.
-const RETRY_AFTER: Duration = Duration::from_secs(1);
+/// Wait before the retry of a refused request while the log is up.
+const RETRY_DELAY: Duration = Duration::from_secs(1);
 
-/// Claims of this node and the fold of all claims.
+/// Claims of this node, and the owners of all keys as read from the log.
 #[derive(Debug)]
 pub struct ClaimsState {
     settings: ClaimsSettings,
+    /// [`ClaimId::instance_hash`] of this node's claims.
     instance_hash: u64,
     next_sequence: u64,
+    /// Local claims in [`local::Phase::Pending`].
     pending_claims: usize,
     fold: ClaimFold,
-    queue: AppendQueue,
-    kept: KeptAnswers,
-    local: HashMap<KeyHash, LocalClaim>,
+    append_queue: AppendQueue,
+    kept_answers: KeptAnswers,
+    local_claims: HashMap<KeyHash, LocalClaim>,
     deadlines: BTreeSet<KeyDeadline>,
 }
 
@@ -53,14 +56,14 @@
             next_sequence: 1,
             pending_claims: 0,
             fold: ClaimFold::new(settings.dedup_window_ms()),
-            queue: AppendQueue::new(settings.appends_per_s),
-            kept: KeptAnswers::new(settings.max_kept_answers_bytes),
-            local: HashMap::new(),
+            append_queue: AppendQueue::new(settings.appends_per_s),
+            kept_answers: KeptAnswers::new(settings.max_kept_answers_bytes),
+            local_claims: HashMap::new(),
             deadlines: BTreeSet::new(),
         }
     }
 
-    /// Applies `event` and returns what to do.
+    /// Applies `event` and returns the resulting commands.
     pub fn apply(&mut self, event: ClaimEvent, now: Instant) -> Vec<ClaimCommand> {
         let mut commands = Vec::new();
         self.expire(now, &mut commands);
@@ -74,11 +77,11 @@
                 self.end_run(claim, key, ending, now, &mut commands);
             }
             ClaimEvent::LiveNodes(nodes) => {
-                self.queue.set_share(self.settings.appends_per_s, nodes);
+                self.append_queue.set_rate(self.settings.appends_per_s, nodes);
             }
             ClaimEvent::Tick => {}
         }
-        commands.extend(self.queue.start(now));
+        commands.extend(self.append_queue.start_append(now));
         commands
     }
 
@@ -87,18 +90,18 @@
         self.fold.next_offset()
     }
 
-    /// Number of keys remembered from the log.
+    /// Number of keys with claims in the deduplication window.
     pub fn tracked_keys(&self) -> usize {
         self.fold.len()
     }
 
-    /// Number of calls that wait for a claim.
+    /// Number of claims whose record has not been read back from the log.
     pub fn pending_claims(&self) -> usize {
         self.pending_claims
     }
 
-    /// When a refused caller may send again.
+    /// When a refused request may be retried.
     fn retry_at(&self, now: Instant) -> Option<Instant> {
-        self.queue.down_until().or(Some(now + RETRY_AFTER))
+        self.append_queue.log_down_until().or(Some(now + RETRY_DELAY))
     }
 }
--- a/src/decision/claims/progress.rs
+++ b/src/decision/claims/progress.rs
@@ -1,8 +1,8 @@
-//! Progress of claims: what the log, the ends of calls and time do to them.
+//! Handling of finished appends, log pages, ended calls and passed deadlines.
 
 use super::ClaimsState;
-use super::fold::{FoldedEntry, KeyOwner};
-use super::local::{KeyDeadline, LocalClaim, Phase, answer_all, not_run, owned_verdict};
+use super::fold::{EntryOutcome, KeyOwner};
+use super::local::{KeyDeadline, LocalClaim, Phase, not_run, send_verdict, verdict_for_owned_key};
 use super::messages::{ClaimCommand, ClaimVerdict, NotRunReason, RunEnding, UnknownReason};
 use super::record::{ClaimEntry, ClaimId, KeyHash};
 use crate::ports::LogPage;
@@ -11,6 +11,7 @@
 use std::time::{Duration, Instant, SystemTime};
 
 impl ClaimsState {
+    /// Handles the result of an append; `offset` is none if the append may have failed.
     pub(super) fn end_append(
         &mut self,
         batch: u64,
@@ -18,7 +19,7 @@
         now: Instant,
         commands: &mut Vec<ClaimCommand>,
     ) {
-        if !self.queue.end(batch, offset.is_some(), now) {
+        if !self.append_queue.finish_append(batch, offset.is_some(), now) {
             return;
         }
         match offset {
@@ -26,112 +27,122 @@
                 commands.push(ClaimCommand::ReadThrough(offset));
             }
             Some(_) => {}
-            None => self.drop_unwanted_entries(),
+            None => self.drop_abandoned_claims(),
         }
     }
 
+    /// Folds a page of the log and decides the claims of this node that are in it.
     pub(super) fn fold_page(
         &mut self,
         page: &LogPage,
         now: Instant,
         commands: &mut Vec<ClaimCommand>,
     ) {
-        for entry in self.fold.apply(page, now) {
-            match entry {
-                FoldedEntry::Owns { claim, key } if claim.instance_hash == self.instance_hash => {
-                    self.own(claim, key, now, commands);
+        for outcome in self.fold.apply(page, now) {
+            match outcome {
+                EntryOutcome::Acquired { claim, key }
+                    if claim.instance_hash == self.instance_hash =>
+                {
+                    self.run_or_release(claim, key, now, commands);
                 }
-                FoldedEntry::Lost { claim, key, owner }
+                EntryOutcome::Rejected { claim, key, owner }
                     if claim.instance_hash == self.instance_hash =>
                 {
-                    self.lose(claim, key, owner, commands);
+                    self.reject_claim(claim, key, owner, commands);
                 }
-                FoldedEntry::Released { claim, key }
+                EntryOutcome::Released { claim, key }
                     if claim.instance_hash == self.instance_hash =>
                 {
-                    self.take_local(claim, key);
+                    self.remove_local_claim(claim, key);
                 }
-                FoldedEntry::Owns { .. }
-                | FoldedEntry::Lost { .. }
-                | FoldedEntry::Released { .. } => {}
+                EntryOutcome::Acquired { .. }
+                | EntryOutcome::Rejected { .. }
+                | EntryOutcome::Released { .. } => {}
             }
         }
     }
 
-    /// Runs the call of a claim that owns its key, or releases the key.
-    fn own(
+    /// Lets the first caller of a claim that now owns its key run the call. Releases the key if the
+    /// call must not run, no caller is left, or this node no longer has the claim.
+    fn run_or_release(
         &mut self,
         claim: ClaimId,
         key: KeyHash,
         now: Instant,
         commands: &mut Vec<ClaimCommand>,
     ) {
-        let forget_at = now + Duration::from_millis(self.settings.dedup_window_ms());
-        let is_own = |local: &&mut LocalClaim| local.claim == claim;
-        let Some(local) = self.local.get_mut(&key).filter(is_own) else {
-            self.queue.push(ClaimEntry::Release { claim, key });
+        let remove_at = now + Duration::from_millis(self.settings.dedup_window_ms());
+        let is_this_claim = |local: &&mut LocalClaim| local.claim == claim;
+        let Some(local) = self.local_claims.get_mut(&key).filter(is_this_claim) else {
+            self.append_queue.push(ClaimEntry::Release { claim, key });
             return;
         };
-        self.deadlines.insert(KeyDeadline { at: forget_at, key });
-        self.pending_claims -= usize::from(local.is_waiting());
-        let refusal = self.own_refusal(key, now);
+        self.deadlines.insert(KeyDeadline { at: remove_at, key });
+        self.pending_claims -= usize::from(local.is_pending());
+        let refusal = self.run_refusal(key, now);
         let timeout = not_run(NotRunReason::ClaimTimeout, self.retry_at(now));
-        let Some(local) = self.local.get_mut(&key) else { return };
+        let Some(local) = self.local_claims.get_mut(&key) else { return };
         if refusal.is_some() || local.callers.is_empty() {
             let verdict = refusal.unwrap_or(timeout);
-            answer_all(mem::take(&mut local.callers), &verdict, commands);
-            local.phase = Phase::Releasing { forget_at };
-            self.queue.push(ClaimEntry::Release { claim, key });
+            send_verdict(mem::take(&mut local.callers), &verdict, commands);
+            local.phase = Phase::Releasing { remove_at };
+            self.append_queue.push(ClaimEntry::Release { claim, key });
             return;
         }
         let runner = local.callers.remove(0);
-        local.phase = Phase::Running { forget_at };
+        local.phase = Phase::Running { remove_at };
         let verdict = ClaimVerdict::Run { claim, start_deadline: runner.deadline };
         commands.push(ClaimCommand::Verdict { request_id: runner.request_id, verdict });
     }
 
-    /// Why the claim of `key`, which owns it, must not run, if so.
-    fn own_refusal(&self, key: KeyHash, now: Instant) -> Option<ClaimVerdict> {
-        let key_created_at = self.local.get(&key).and_then(|local| local.key_created_at);
-        if self.fold.is_blind(now) {
+    /// Verdict if the claim that owns `key` must not run its call.
+    fn run_refusal(&self, key: KeyHash, now: Instant) -> Option<ClaimVerdict> {
+        let key_created_at = self.local_claims.get(&key).and_then(|local| local.key_created_at);
+        if self.fold.may_lack_claims(now) {
             return Some(not_run(NotRunReason::ClaimsHidden, self.retry_at(now)));
         }
-        if self.is_too_old(key_created_at) {
+        if self.is_key_too_old(key_created_at) {
             return Some(ClaimVerdict::OutcomeUnknown(UnknownReason::KeyTooOld));
         }
-        let latest = self.fold.latest() + Duration::from_millis(self.settings.clock_skew_ms);
-        let in_future = key_created_at.is_some_and(|key_created_at| key_created_at > latest);
-        in_future.then(|| not_run(NotRunReason::KeyFromFuture, None))
+        let latest_created_at =
+            self.fold.latest_append_at() + Duration::from_millis(self.settings.clock_skew_ms);
+        let is_in_future =
+            key_created_at.is_some_and(|key_created_at| key_created_at > latest_created_at);
+        is_in_future.then(|| not_run(NotRunReason::KeyFromFuture, None))
     }
 
-    fn lose(
+    /// Answers the callers of a claim whose key another claim owns, and removes the claim.
+    fn reject_claim(
         &mut self,
         claim: ClaimId,
         key: KeyHash,
         owner: KeyOwner,
         commands: &mut Vec<ClaimCommand>,
     ) {
-        let Some(local) = self.take_local(claim, key) else { return };
-        self.pending_claims -= usize::from(local.is_waiting());
-        answer_all(local.callers, &owned_verdict(owner, local.fingerprint), commands);
+        let Some(local) = self.remove_local_claim(claim, key) else { return };
+        self.pending_claims -= usize::from(local.is_pending());
+        send_verdict(local.callers, &verdict_for_owned_key(owner, local.fingerprint), commands);
     }
 
-    fn take_local(&mut self, claim: ClaimId, key: KeyHash) -> Option<LocalClaim> {
-        self.local.get(&key).filter(|local| local.claim == claim)?;
-        self.local.remove(&key)
+    /// Removes `claim` if it is this node's claim of `key`.
+    fn remove_local_claim(&mut self, claim: ClaimId, key: KeyHash) -> Option<LocalClaim> {
+        self.local_claims.get(&key).filter(|local| local.claim == claim)?;
+        self.local_claims.remove(&key)
     }
 
-    /// Drops queued claims that no caller waits for.
-    fn drop_unwanted_entries(&mut self) {
-        let local = &self.local;
-        self.queue.retain(|entry| match entry {
+    /// Drops queued claims for which no caller waits.
+    fn drop_abandoned_claims(&mut self) {
+        let local = &self.local_claims;
+        self.append_queue.retain(|entry| match entry {
             ClaimEntry::Release { .. } => true,
             ClaimEntry::Claim { claim, key, .. } => {
-                local.get(key).is_some_and(|local| local.claim == *claim && local.is_waiting())
+                local.get(key).is_some_and(|local| local.claim == *claim && local.is_pending())
             }
         });
     }
 
+    /// Handles the end of a call that this node ran: answers its callers, and releases the key if
+    /// the call was not run.
     pub(super) fn end_run(
         &mut self,
         claim: ClaimId,
@@ -144,28 +155,29 @@
         let is_running = |local: &&mut LocalClaim| {
             local.claim == claim && matches!(local.phase, Phase::Running { .. })
         };
-        let Some(local) = self.local.get_mut(&key).filter(is_running) else { return };
+        let Some(local) = self.local_claims.get_mut(&key).filter(is_running) else { return };
         let callers = mem::take(&mut local.callers);
-        let forget_at = now + Duration::from_millis(self.settings.kept_answer_ms);
-        local.phase = Phase::Ended { forget_at };
-        self.deadlines.insert(KeyDeadline { at: forget_at, key });
+        let remove_at = now + Duration::from_millis(self.settings.kept_answer_ms);
+        local.phase = Phase::Ended { remove_at };
+        self.deadlines.insert(KeyDeadline { at: remove_at, key });
         let verdict = match ending {
             RunEnding::Answer(answer) => {
-                self.kept.insert(key, &answer);
+                self.kept_answers.insert(key, &answer);
                 ClaimVerdict::Answer(answer)
             }
             RunEnding::NotRun => {
-                let forget_at = now + Duration::from_millis(self.settings.dedup_window_ms());
-                local.phase = Phase::Releasing { forget_at };
-                self.deadlines.insert(KeyDeadline { at: forget_at, key });
-                self.queue.push(ClaimEntry::Release { claim, key });
+                let remove_at = now + Duration::from_millis(self.settings.dedup_window_ms());
+                local.phase = Phase::Releasing { remove_at };
+                self.deadlines.insert(KeyDeadline { at: remove_at, key });
+                self.append_queue.push(ClaimEntry::Release { claim, key });
                 not_run(NotRunReason::EarlierNotRun, retry_at)
             }
             RunEnding::OutcomeUnknown => ClaimVerdict::OutcomeUnknown(UnknownReason::AnswerNotKept),
         };
-        answer_all(callers, &verdict, commands);
+        send_verdict(callers, &verdict, commands);
     }
 
+    /// Handles all deadlines up to `now`.
     pub(super) fn expire(&mut self, now: Instant, commands: &mut Vec<ClaimCommand>) {
         while self.deadlines.first().is_some_and(|deadline| deadline.at <= now) {
             let Some(deadline) = self.deadlines.pop_first() else { return };
@@ -173,46 +185,49 @@
         }
     }
 
+    /// Answers the callers of `key` whose deadline has passed, and removes its claim once due.
     fn expire_key(&mut self, key: KeyHash, now: Instant, commands: &mut Vec<ClaimCommand>) {
         let retry_at = self.retry_at(now);
-        let Some(local) = self.local.get_mut(&key) else { return };
+        let Some(local) = self.local_claims.get_mut(&key) else { return };
         let callers = mem::take(&mut local.callers);
-        let (expired, waiting) = callers.into_iter().partition(|caller| caller.deadline <= now);
-        local.callers = waiting;
+        let (expired, remaining) = callers.into_iter().partition(|caller| caller.deadline <= now);
+        local.callers = remaining;
         match local.phase {
-            Phase::Waiting { reuse_until } => {
-                answer_all(expired, &not_run(NotRunReason::ClaimTimeout, retry_at), commands);
+            Phase::Pending { reuse_until } => {
+                send_verdict(expired, &not_run(NotRunReason::ClaimTimeout, retry_at), commands);
                 if local.callers.is_empty() {
-                    local.phase = Phase::GivenUp { reuse_until };
+                    local.phase = Phase::TimedOut { reuse_until };
                     self.pending_claims -= 1;
                     self.deadlines.insert(KeyDeadline { at: reuse_until.max(now), key });
-                    self.drop_unwanted_entries();
+                    self.drop_abandoned_claims();
                 }
             }
-            Phase::GivenUp { reuse_until: forget_at }
-            | Phase::Releasing { forget_at }
-            | Phase::Running { forget_at }
-            | Phase::Ended { forget_at } => {
+            Phase::TimedOut { reuse_until: remove_at }
+            | Phase::Releasing { remove_at }
+            | Phase::Running { remove_at }
+            | Phase::Ended { remove_at } => {
                 let verdict = ClaimVerdict::OutcomeUnknown(UnknownReason::UnderWay);
-                answer_all(expired, &verdict, commands);
-                if forget_at <= now {
-                    self.forget(key, commands);
+                send_verdict(expired, &verdict, commands);
+                if remove_at <= now {
+                    self.remove_expired_claim(key, commands);
                 }
             }
         }
     }
 
-    /// Forgets a local claim; what it owns on the log stays.
-    fn forget(&mut self, key: KeyHash, commands: &mut Vec<ClaimCommand>) {
-        self.kept.remove(key);
-        let Some(local) = self.local.remove(&key) else { return };
+    /// Removes a local claim; on the log it still owns its key.
+    fn remove_expired_claim(&mut self, key: KeyHash, commands: &mut Vec<ClaimCommand>) {
+        self.kept_answers.remove(key);
+        let Some(local) = self.local_claims.remove(&key) else { return };
         let verdict = ClaimVerdict::OutcomeUnknown(UnknownReason::AnswerNotKept);
-        answer_all(local.callers, &verdict, commands);
+        send_verdict(local.callers, &verdict, commands);
     }
 
-    pub(super) fn is_too_old(&self, key_created_at: Option<SystemTime>) -> bool {
-        let age = key_created_at
-            .and_then(|key_created_at| self.fold.latest().duration_since(key_created_at).ok());
+    /// Whether the log's clock is beyond the maximum age of a key created at `key_created_at`.
+    pub(super) fn is_key_too_old(&self, key_created_at: Option<SystemTime>) -> bool {
+        let age = key_created_at.and_then(|key_created_at| {
+            self.fold.latest_append_at().duration_since(key_created_at).ok()
+        });
         age.is_some_and(|age| age > Duration::from_millis(self.settings.key_age_ms))
     }
 }
--- a/src/decision/claims/record.rs
+++ b/src/decision/claims/record.rs
@@ -1,4 +1,4 @@
-//! Records of the log stream `claims`.
+//! Records of the log stream `claims`, in CBOR.
 
 use crate::types::{IdempotencyKey, ServiceId, WorkspaceId};
 use bytes::Bytes;
@@ -6,28 +6,28 @@
 use sha2::{Digest, Sha256};
 use std::fmt;
 
-/// Version of the record format that this build writes, and the highest that it reads.
+/// Record format that this build writes, and the highest that it reads.
 pub const RECORD_VERSION: u32 = 1;
 
-/// Marker that tells the system's records from foreign ones.
+/// Marker at the start of each record; a payload without it is ignored.
 const RECORD_MARKER: &str = "cot-claims";
 
-/// Bytes of a SHA-256 that a key hash keeps.
+/// Length of a key hash, a truncated SHA-256.
 const KEY_HASH_BYTES: usize = 16;
 
 /// Hash of an idempotency key within its workspace and service.
 pub type KeyHash = u128;
 
-/// Hash of a call's method, path and body; tells a repeated call from a reused key.
+/// Hash of a call's method, path and body; tells a retry from a key reused for another call.
 pub type Fingerprint = u64;
 
-/// Id of a claim: unique over all runs of all nodes.
+/// Id of a claim, unique over all instances.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd, Deserialize, Serialize)]
 pub struct ClaimId {
-    /// Hash of the instance id of the node's run.
+    /// Hash of the node's instance id.
     #[serde(rename = "r")]
     pub instance_hash: u64,
-    /// Number of the claim within the run.
+    /// Number of the claim within the instance.
     #[serde(rename = "s")]
     pub sequence: u64,
 }
@@ -41,10 +41,10 @@
 /// Entry of a claim batch.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Deserialize, Serialize)]
 pub enum ClaimEntry {
-    /// A node claims a key; the first claim on a free key owns it.
+    /// Claims a key; the first claim on a free key owns it.
     #[serde(rename = "c")]
     Claim {
-        /// Claim.
+        /// Id of the claim.
         #[serde(rename = "i")]
         claim: ClaimId,
         /// Claimed key.
@@ -54,7 +54,7 @@
         #[serde(rename = "f")]
         fingerprint: Fingerprint,
     },
-    /// The owner states that its claim was not run and never will be.
+    /// Frees a key: the call of the owning claim was not run and never will be.
     #[serde(rename = "r")]
     Release {
         /// Released claim.
@@ -66,14 +66,14 @@
     },
 }
 
-/// What the payload of a record turned out to be.
+/// Decoded payload of a record.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum DecodedRecord {
-    /// Batch of entries.
+    /// Entries of a claim batch.
     Batch(Vec<ClaimEntry>),
-    /// Record of a newer build, which may hold claims that this build cannot read.
+    /// Record of a newer build, which may contain claims that this build cannot read.
     Newer,
-    /// Not a record of the system.
+    /// Payload without the marker or with unreadable content.
     Foreign,
 }
 
@@ -83,16 +83,16 @@
     version: u32,
 }
 
-/// Returns the payload of a record that holds `entries`.
+/// Encodes `entries` as the payload of a record.
 pub fn encode_record(entries: &[ClaimEntry]) -> Bytes {
     let head = RecordHead { marker: RECORD_MARKER.to_owned(), version: RECORD_VERSION };
     let mut payload = Vec::new();
-    ciborium::into_writer(&head, &mut payload).expect("a Vec takes every write");
-    ciborium::into_writer(entries, &mut payload).expect("a Vec takes every write");
+    ciborium::into_writer(&head, &mut payload).expect("writing to a Vec cannot fail");
+    ciborium::into_writer(entries, &mut payload).expect("writing to a Vec cannot fail");
     payload.into()
 }
 
-/// Reads the payload of a record.
+/// Decodes the payload of a record.
 pub fn decode_record(mut payload: &[u8]) -> DecodedRecord {
     let Ok(head) = ciborium::from_reader::<RecordHead, _>(&mut payload) else {
         return DecodedRecord::Foreign;
@@ -109,9 +109,9 @@
 /// Returns the hash under which `key` is claimed.
 pub fn hash_key(workspace: &WorkspaceId, service: &ServiceId, key: &IdempotencyKey) -> KeyHash {
     let mut hasher = Sha256::new();
-    for part in [workspace.as_str(), service.as_str(), key.as_str()] {
-        hasher.update((part.len() as u64).to_be_bytes());
-        hasher.update(part.as_bytes());
+    for field in [workspace.as_str(), service.as_str(), key.as_str()] {
+        hasher.update((field.len() as u64).to_be_bytes());
+        hasher.update(field.as_bytes());
     }
     let digest = hasher.finalize();
     let mut hash = [0; KEY_HASH_BYTES];
--- a/src/decision/claims/settings.rs
+++ b/src/decision/claims/settings.rs
@@ -3,29 +3,30 @@
 use crate::types::Faults;
 use std::time::Duration;
 
-/// Least milliseconds by which the log must keep records beyond the memory of claims.
-const RETENTION_MARGIN_MS: u64 = 60_000;
+/// Minimum time for which the log must keep records beyond the deduplication window.
+const MIN_RETENTION_MARGIN_MS: u64 = 60_000;
 
 /// Settings of the claims decision; all nodes must have the same.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct ClaimsSettings {
-    /// Milliseconds after its first use (or the time that it carries) for which a key holds.
+    /// Milliseconds after its first use, or after the creation time in the key, for which a key is
+    /// valid.
     pub key_age_ms: u64,
-    /// Largest difference between the clocks of callers and of the log.
+    /// Maximum difference between the clocks of callers and of the log.
     pub clock_skew_ms: u64,
-    /// Milliseconds for which the log is known to keep records.
+    /// Milliseconds for which the log keeps records.
     pub log_retention_ms: u64,
-    /// Milliseconds that a call waits for its claim.
+    /// Milliseconds that a request waits for its claim to be read back from the log.
     pub claim_timeout_ms: u64,
-    /// Milliseconds after which a claim that was given up is no longer taken up again.
+    /// Milliseconds from the creation of a claim in which a retry may reuse it after a timeout.
     pub claim_reuse_ms: u64,
-    /// Appends a second to the stream, over all nodes.
+    /// Maximum appends per second to the stream, over all nodes.
     pub appends_per_s: u32,
-    /// Milliseconds for which an answer is kept for callers that send again.
+    /// Milliseconds for which an answer is kept for retries.
     pub kept_answer_ms: u64,
-    /// Bytes of all kept answers together.
+    /// Maximum bytes of all kept answers together.
     pub max_kept_answers_bytes: usize,
-    /// Calls that may wait for a claim at once.
+    /// Maximum claims that may be pending at once.
     pub max_pending_claims: usize,
 }
 
@@ -46,33 +47,33 @@
 }
 
 impl ClaimsSettings {
-    /// Milliseconds of the log's clock for which claims are remembered.
+    /// Milliseconds, by the log's clock, for which claims are tracked to detect retries.
     pub fn dedup_window_ms(&self) -> u64 {
         self.key_age_ms + 2 * self.clock_skew_ms
     }
 
-    /// Reports the settings that do not fit each other.
+    /// Reports inconsistent settings under `path`.
     pub fn check(&self, path: &str, faults: &mut Faults) {
         faults.require(
-            self.log_retention_ms >= self.dedup_window_ms() + RETENTION_MARGIN_MS,
+            self.log_retention_ms >= self.dedup_window_ms() + MIN_RETENTION_MARGIN_MS,
             format!("{path}.log_retention_ms"),
             "must be above key_age_ms + 2 * clock_skew_ms by a minute",
         );
         let claim_ms = self.claim_timeout_ms + self.claim_reuse_ms;
         faults.require(
-            claim_ms < RETENTION_MARGIN_MS && claim_ms <= 2 * self.clock_skew_ms,
+            claim_ms < MIN_RETENTION_MARGIN_MS && claim_ms <= 2 * self.clock_skew_ms,
             format!("{path}.claim_timeout_ms"),
             "must be, with claim_reuse_ms, below a minute and 2 * clock_skew_ms",
         );
         faults.require(self.appends_per_s > 0, format!("{path}.appends_per_s"), "must be above 0");
     }
 
-    /// Period for which a call waits for its claim.
+    /// [`Self::claim_timeout_ms`] as a duration.
     pub(super) fn claim_timeout(&self) -> Duration {
         Duration::from_millis(self.claim_timeout_ms)
     }
 
-    /// Period within which a claim that was given up may be taken up again.
+    /// [`Self::claim_reuse_ms`] as a duration.
     pub(super) fn claim_reuse(&self) -> Duration {
         Duration::from_millis(self.claim_reuse_ms)
     }
