--- a/src/decision/claims/progress.rs
+++ b/src/decision/claims/progress.rs
@@ -225,9 +225,8 @@
 
     /// Whether the log's clock is beyond the maximum age of a key created at `key_created_at`.
     pub(super) fn is_key_too_old(&self, key_created_at: Option<SystemTime>) -> bool {
-        let age = key_created_at.and_then(|key_created_at| {
-            self.fold.latest_append_at().duration_since(key_created_at).ok()
-        });
+        let age = key_created_at
+            .and_then(|created_at| self.fold.latest_append_at().duration_since(created_at).ok());
         age.is_some_and(|age| age > Duration::from_millis(self.settings.key_age_ms))
     }
 }
--- a/src/decision/leases/messages.rs
+++ b/src/decision/leases/messages.rs
@@ -7,7 +7,7 @@
 use std::collections::BTreeSet;
 use strum::{Display, EnumIter, IntoStaticStr};
 
-/// What a lease entitles its holder to.
+/// Task that only the holder of the lease may do.
 #[derive(
     Clone,
     Copy,
@@ -26,26 +26,26 @@
 #[serde(rename_all = "snake_case")]
 #[strum(serialize_all = "snake_case")]
 pub enum LeaseKind {
-    /// Giving placement orders to model engines.
+    /// Sending placement orders to model engines.
     Placement,
     /// Republishing the configuration document before its records expire.
     ConfigurationSnapshot,
 }
 
-/// Change on the stream `leases`.
+/// Record that acquires, renews or releases a lease.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct LeaseRecord {
     /// Lease.
     pub kind: LeaseKind,
     /// Instance that appended the record.
     pub holder: InstanceId,
-    /// Number of the attempt within the instance; an append whose answer is lost is repeated under
-    /// the same number.
+    /// Number of the append within the instance. An append that is repeated because it was not read
+    /// back has the same number.
     pub attempt: u64,
-    /// Offset of the record of this lease that this one replaces, 0 if none; the record counts
-    /// only if that is still the last one in force.
+    /// Offset of the record of this lease that this one replaces, 0 if none. The record is ignored
+    /// unless that one is still in force.
     pub replaces: LogOffset,
-    /// What the record does.
+    /// Effect of the record.
     pub action: LeaseAction,
 }
 
@@ -55,10 +55,10 @@
 pub enum LeaseAction {
     /// Acquires or renews the lease.
     Hold {
-        /// Milliseconds that the lease lasts.
+        /// Duration of the lease in milliseconds.
         lease_ms: u64,
     },
-    /// Gives the lease up.
+    /// Releases the lease.
     Release,
 }
 
@@ -69,14 +69,14 @@
     Page {
         /// Page.
         page: LogPage,
-        /// Offset that was asked for.
+        /// Offset that the read started from.
         from_offset: LogOffset,
     },
-    /// The leases that this node should try to hold.
+    /// Sets the leases that this node tries to acquire and renew.
     Desired(BTreeSet<LeaseKind>),
     /// Time passed.
     Tick,
-    /// The node stops gracefully; held leases are released.
+    /// The node shuts down; it releases its leases.
     Stop,
 }
 
@@ -89,7 +89,7 @@
     Acquired {
         /// Lease.
         kind: LeaseKind,
-        /// Fencing number of orders under the lease.
+        /// Fencing number to send with each order under the lease.
         fencing_number: LogOffset,
     },
     /// This node no longer holds the lease.
--- a/src/decision/leases/mod.rs
+++ b/src/decision/leases/mod.rs
@@ -1,10 +1,10 @@
-//! Leases on the platform's log: who may give orders, until when, under which fencing number.
+//! Leases on the platform's log: at most one node at a time holds each lease.
 //!
 //! A lease is a record on the stream `leases`. Each record names the offset of the record it
-//! replaces, so log order alone decides who holds a lease and every reader computes the same
-//! holder. A holder counts its deadline from before the append was sent and extends it only when
-//! it reads its own record back; everybody else counts from when they read the record, plus a
-//! drift margin.
+//! replaces, so log order alone decides the holder and every node computes the same one. The
+//! holder counts its deadline from before it sent the append, and extends it only after it has
+//! read its own record back. All other nodes count from when they read the record, plus a margin
+//! for clock drift.
 
 pub mod deadlines;
 pub mod messages;
@@ -18,6 +18,7 @@
 pub use stream::StreamRecord;
 pub use table::LeaseStreamRecord;
 
+use crate::ports::LogPage;
 use crate::types::{InstanceId, LogOffset};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::{Duration, Instant};
@@ -26,15 +27,16 @@
 /// Lease that this node holds.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct HeldLease {
-    /// Offset of the record that acquired the lease.
+    /// Fencing number of orders under the lease: offset of the record that acquired it.
     pub fencing_number: LogOffset,
-    /// From when the lease may no longer be used.
+    /// When the lease ends.
     pub deadline: Instant,
-    /// From when orders to servers that ignore fencing numbers may be given.
+    /// Earliest time for orders to servers that don't check fencing numbers; by then the orders of
+    /// earlier holders have taken effect.
     pub unfenced_orders_allowed_at: Instant,
 }
 
-/// Append that has not been read back yet.
+/// Record that was sent to the log and has not been read back.
 #[derive(Clone, Debug)]
 struct PendingAppend {
     record: LeaseRecord,
@@ -42,7 +44,7 @@
     repeat_at: Instant,
 }
 
-/// Leases as one node sees and holds them; owned by the control thread.
+/// Leases as read from the log, and those that this node holds; owned by the control thread.
 #[derive(Clone, Debug)]
 pub struct LeaseState {
     instance: InstanceId,
@@ -55,7 +57,7 @@
 }
 
 impl LeaseState {
-    /// Returns the state of a node that has read nothing yet.
+    /// Returns the state of a node that has read nothing.
     pub fn new(instance: InstanceId, settings: LeaseSettings) -> Self {
         Self {
             table: LeaseTable::new(&instance, settings.lease_ms),
@@ -68,10 +70,10 @@
         }
     }
 
-    /// Applies `event` and returns what to do.
+    /// Applies `event` and returns the resulting commands.
     pub fn apply(&mut self, event: LeaseEvent, now: Instant) -> Vec<LeaseCommand> {
         match event {
-            LeaseEvent::Page { page, from_offset } => self.read_page(&page, from_offset, now),
+            LeaseEvent::Page { page, from_offset } => self.apply_page(&page, from_offset, now),
             LeaseEvent::Desired(kinds) => {
                 self.desired = kinds;
                 self.tick(now)
@@ -81,13 +83,13 @@
         }
     }
 
-    /// Returns the held lease of `kind` if it may be used at `now`. To be called with the time
-    /// read immediately before each order.
+    /// Returns the lease of `kind` if this node may use it at `now`, which must be read immediately
+    /// before each order.
     pub fn held(&self, kind: LeaseKind, now: Instant) -> Option<HeldLease> {
         self.held.get(&kind).copied().filter(|held| now < held.deadline)
     }
 
-    /// Returns who holds `kind` as far as the log was read, lapsed or not.
+    /// Returns the last holder of `kind` as read from the log, even if its lease has lapsed.
     pub fn holder(&self, kind: LeaseKind) -> Option<&InstanceId> {
         self.table.entry(kind)?.holder.as_ref()
     }
@@ -97,30 +99,33 @@
         self.table.entry(kind).map_or(0, |entry| entry.fencing_number)
     }
 
-    /// Returns the offset to read the log from.
+    /// Returns the offset to read the log from next.
     pub fn next_offset(&self) -> LogOffset {
         self.table.next_offset()
     }
 
-    fn read_page(
+    fn apply_page(
         &mut self,
-        page: &crate::ports::LogPage,
+        page: &LogPage,
         from_offset: LogOffset,
         now: Instant,
     ) -> Vec<LeaseCommand> {
         let mut commands = Vec::new();
         for record in self.table.fold_page(page, from_offset, now) {
             if record.holder == self.instance {
-                self.confirm(&record, &mut commands);
+                self.apply_own_record(&record, &mut commands);
             } else if self.held.remove(&record.kind).is_some() {
                 commands.push(LeaseCommand::Lost { kind: record.kind });
             }
         }
-        self.pending.retain(|kind, pending| pending.record.replaces == self.table.offset(*kind));
+        self.pending
+            .retain(|kind, pending| pending.record.replaces == self.table.last_offset(*kind));
         commands
     }
 
-    fn confirm(&mut self, record: &LeaseRecord, commands: &mut Vec<LeaseCommand>) {
+    /// Applies a record of this instance that took effect. Only a pending append extends the lease:
+    /// the send time of other records is unknown.
+    fn apply_own_record(&mut self, record: &LeaseRecord, commands: &mut Vec<LeaseCommand>) {
         let fencing_number = self.fencing_number(record.kind);
         let LeaseAction::Hold { lease_ms } = record.action else {
             self.held.remove(&record.kind);
@@ -147,9 +152,9 @@
     fn tick(&mut self, now: Instant) -> Vec<LeaseCommand> {
         let mut commands = Vec::new();
         self.drop_lapsed(now, &mut commands);
-        commands.extend(self.table.upkeep(now).map(LeaseCommand::Append));
+        commands.extend(self.table.take_due_maintenance(now).map(LeaseCommand::Append));
         for kind in self.desired.clone() {
-            if let Some(record) = self.next_append(kind, now) {
+            if let Some(record) = self.due_append(kind, now) {
                 commands.push(LeaseCommand::Append(StreamRecord::Change(record)));
             }
         }
@@ -158,15 +163,17 @@
 
     fn drop_lapsed(&mut self, now: Instant, commands: &mut Vec<LeaseCommand>) {
         self.held.retain(|kind, held| {
-            let lasts = now < held.deadline;
-            if !lasts {
+            let is_valid = now < held.deadline;
+            if !is_valid {
                 commands.push(LeaseCommand::Lost { kind: *kind });
             }
-            lasts
+            is_valid
         });
     }
 
-    fn next_append(&mut self, kind: LeaseKind, now: Instant) -> Option<LeaseRecord> {
+    /// Returns the record to append for `kind`: a pending one to repeat, or a new one that acquires
+    /// or renews the lease.
+    fn due_append(&mut self, kind: LeaseKind, now: Instant) -> Option<LeaseRecord> {
         if let Some(pending) = self.pending.get_mut(&kind) {
             if now < pending.repeat_at {
                 return None;
@@ -174,13 +181,13 @@
             pending.repeat_at = now + Duration::from_millis(self.settings.repeat_ms);
             return Some(pending.record.clone());
         }
-        let due = match self.held(kind, now) {
+        let is_due = match self.held(kind, now) {
             Some(held) => now >= self.renew_at(held),
-            None => self.table.is_open_to(&self.instance, kind, now),
+            None => self.table.can_acquire(&self.instance, kind, now),
         };
-        due.then(|| {
+        is_due.then(|| {
             let action = LeaseAction::Hold { lease_ms: self.settings.lease_ms };
-            self.send(kind, action, now)
+            self.start_append(kind, action, now)
         })
     }
 
@@ -188,13 +195,14 @@
         held.deadline - Duration::from_millis(self.settings.lease_ms - self.settings.renew_ms)
     }
 
-    fn send(&mut self, kind: LeaseKind, action: LeaseAction, now: Instant) -> LeaseRecord {
+    /// Creates a record and keeps it as pending until it is read back.
+    fn start_append(&mut self, kind: LeaseKind, action: LeaseAction, now: Instant) -> LeaseRecord {
         self.last_attempt += 1;
         let record = LeaseRecord {
             kind,
             holder: self.instance.clone(),
             attempt: self.last_attempt,
-            replaces: self.table.offset(kind),
+            replaces: self.table.last_offset(kind),
             action,
         };
         let pending = PendingAppend {
@@ -212,7 +220,7 @@
         self.held.clear();
         kinds
             .into_iter()
-            .map(|kind| self.send(kind, LeaseAction::Release, now))
+            .map(|kind| self.start_append(kind, LeaseAction::Release, now))
             .map(|record| LeaseCommand::Append(StreamRecord::Change(record)))
             .collect()
     }
--- a/src/decision/leases/settings.rs
+++ b/src/decision/leases/settings.rs
@@ -1,18 +1,18 @@
-//! Settings of leases.
+//! Lease durations and retry periods.
 
 use serde::{Deserialize, Serialize};
 
-/// Settings of leases.
+/// Lease durations and retry periods.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct LeaseSettings {
-    /// Milliseconds that a lease lasts.
+    /// Duration of a lease in milliseconds.
     pub lease_ms: u64,
-    /// Milliseconds after an append at which the holder renews.
+    /// Milliseconds from an append until the holder renews the lease.
     pub renew_ms: u64,
-    /// Milliseconds after which an append that was not read back is repeated.
+    /// Milliseconds until an append that has not been read back is repeated.
     pub repeat_ms: u64,
-    /// Longest time in milliseconds from the check of the deadline until an order takes effect.
+    /// Maximum milliseconds from the check of the lease deadline until an order takes effect.
     pub order_transit_ms: u64,
 }
 
--- a/src/decision/leases/stream.rs
+++ b/src/decision/leases/stream.rs
@@ -1,9 +1,10 @@
 //! Reader of a log stream whose older records expire.
 //!
-//! Whether a record counts depends on everything before it. A reader that starts after records
-//! have expired therefore waits for a checkpoint: the state that another reader had folded up to
-//! an offset from which everything is still visible. If no reader is left that could write one,
-//! the stream is silent; once all that it held must have lapsed, it is reset.
+//! Whether a record takes effect depends on all records before it. A reader that starts after
+//! records have expired therefore waits for a checkpoint: the state that another reader has folded
+//! up to an offset after which all records are still on the log. If no reader is left that could
+//! append one, the stream stays idle; once everything on it must have lapsed, the waiting reader
+//! appends a reset.
 
 use super::deadlines::reader_deadline;
 use crate::ports::{LogPage, LogRecord};
@@ -12,12 +13,13 @@
 use serde::{Deserialize, Serialize};
 use std::time::{Duration, Instant};
 
-/// Milliseconds between checkpoints of a stream.
-const CHECKPOINT_MS: u64 = 60_000;
-/// Milliseconds over which readers spread checkpoints and resets, so that one of them writes.
-const SPREAD_MS: u64 = 20_000;
+/// Minimum milliseconds between checkpoints of a stream.
+const CHECKPOINT_PERIOD_MS: u64 = 60_000;
+/// Maximum delay in milliseconds that a reader adds to its checkpoints and resets. Delays differ
+/// between readers, so that one appends first and the others skip theirs.
+const MAX_JITTER_MS: u64 = 20_000;
 
-/// Record on a stream, in JSON: a change of type `R`, or a state of entries of type `E`.
+/// Record on a stream, in JSON, with changes of type `R` and state entries of type `E`.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(tag = "record", rename_all = "snake_case")]
 pub enum StreamRecord<R, E> {
@@ -25,83 +27,85 @@
     Change(R),
     /// State after the record at `as_of`.
     Checkpoint {
-        /// Offset of the last record folded in.
+        /// Offset of the last record that the state includes.
         as_of: LogOffset,
-        /// Whole state.
+        /// All entries of the state.
         entries: Vec<E>,
     },
-    /// Everything held before this record has lapsed.
+    /// Empty state: everything before this record has lapsed.
     Reset,
 }
 
-/// What a record does to the state.
+/// Change of the state that a reader returns for its caller to apply.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum FoldStep<R, E> {
-    /// Replace the state.
+    /// Replace the state by these entries.
     Replace(Vec<E>),
-    /// Apply a change.
+    /// Apply a change record.
     Change {
-        /// Offset of the change.
+        /// Offset of the record.
         offset: LogOffset,
-        /// Change.
+        /// Record.
         record: R,
     },
 }
 
-/// State that a reader folds onto.
+/// State before the changes that a reader reads.
 #[derive(Clone, Debug)]
 enum Base<R> {
     Known,
-    /// Records before `start` expired unread; the changes from there on wait for a checkpoint.
-    Awaited {
-        start: LogOffset,
+    /// Records before `first_offset` expired unread; later changes are buffered until a checkpoint.
+    Unknown {
+        first_offset: LogOffset,
         changes: Vec<(LogOffset, R)>,
     },
 }
 
-/// Reader of a stream.
+/// Reader of a stream; turns its records into steps to fold.
 #[derive(Clone, Debug)]
 pub struct StreamReader<R> {
     next_offset: LogOffset,
     base: Base<R>,
-    has_read: bool,
+    has_read_page: bool,
     checkpoint_at: Option<Instant>,
     reset_at: Option<Instant>,
-    lapse_ms: u64,
-    spread: Duration,
+    /// Maximum milliseconds for which a record can be valid.
+    max_valid_ms: u64,
+    /// Delay of this reader's checkpoints and resets, derived from its instance id.
+    jitter: Duration,
 }
 
 impl<R: Clone + DeserializeOwned> StreamReader<R> {
-    /// Returns a reader at the start of a stream whose records hold for `lapse_ms` at most.
-    pub fn new(instance: &InstanceId, lapse_ms: u64) -> Self {
-        let spread_ms = xxhash_rust::xxh3::xxh3_64(instance.as_bytes()) % SPREAD_MS;
+    /// Returns a reader at the start of a stream with records valid for at most `max_valid_ms`.
+    pub fn new(instance: &InstanceId, max_valid_ms: u64) -> Self {
+        let jitter_ms = xxhash_rust::xxh3::xxh3_64(instance.as_bytes()) % MAX_JITTER_MS;
         Self {
             next_offset: 1,
             base: Base::Known,
-            has_read: false,
+            has_read_page: false,
             checkpoint_at: None,
             reset_at: None,
-            lapse_ms,
-            spread: Duration::from_millis(spread_ms),
+            max_valid_ms,
+            jitter: Duration::from_millis(jitter_ms),
         }
     }
 
-    /// Returns the offset to read from.
+    /// Returns the offset to read from next.
     pub fn next_offset(&self) -> LogOffset {
         self.next_offset
     }
 
-    /// Takes in that records may hold for `lapse_ms`.
-    pub fn raise_max_validity(&mut self, lapse_ms: u64) {
-        self.lapse_ms = self.lapse_ms.max(lapse_ms);
+    /// Raises the maximum validity of records to `max_valid_ms` if that is longer.
+    pub fn raise_max_validity(&mut self, max_valid_ms: u64) {
+        self.max_valid_ms = self.max_valid_ms.max(max_valid_ms);
     }
 
-    /// Whether the state folded is the true one as of the last record read.
+    /// Whether the folded state includes all records up to the last one read.
     pub fn is_current(&self) -> bool {
-        self.has_read && matches!(self.base, Base::Known)
+        self.has_read_page && matches!(self.base, Base::Known)
     }
 
-    /// Whether a checkpoint should be appended; postpones the next one.
+    /// Returns true if a checkpoint should be appended now, and schedules the next one.
     pub fn take_checkpoint_due(&mut self, now: Instant) -> bool {
         let is_due = self.is_current() && self.checkpoint_at.is_some_and(|at| now >= at);
         if is_due {
@@ -110,7 +114,7 @@
         is_due
     }
 
-    /// Whether a reset should be appended; postpones the next one.
+    /// Returns true if a reset should be appended now, and schedules the next one.
     pub fn take_reset_due(&mut self, now: Instant) -> bool {
         let is_due = !self.is_current() && self.reset_at.is_some_and(|at| now >= at);
         if is_due {
@@ -119,7 +123,7 @@
         is_due
     }
 
-    /// Reads a page that was asked for from offset `from`; returns the steps to fold.
+    /// Reads a page that was requested from `from_offset`; returns the steps to fold.
     pub fn read_page<E: DeserializeOwned>(
         &mut self,
         page: &LogPage,
@@ -129,10 +133,10 @@
         if from_offset > self.next_offset {
             return Vec::new();
         }
-        self.has_read = true;
+        self.has_read_page = true;
         if page.first_offset > self.next_offset {
             self.next_offset = page.first_offset;
-            self.base = Base::Awaited { start: page.first_offset, changes: Vec::new() };
+            self.base = Base::Unknown { first_offset: page.first_offset, changes: Vec::new() };
             self.postpone_reset(now);
         }
         let mut steps = Vec::new();
@@ -158,11 +162,11 @@
         match serde_json::from_slice(&log_record.payload) {
             Ok(StreamRecord::Change(record)) => match &mut self.base {
                 Base::Known => steps.push(FoldStep::Change { offset: log_record.offset, record }),
-                Base::Awaited { changes, .. } => changes.push((log_record.offset, record)),
+                Base::Unknown { changes, .. } => changes.push((log_record.offset, record)),
             },
             Ok(StreamRecord::Checkpoint { as_of, entries }) => {
                 self.postpone_checkpoint(now);
-                self.install(as_of, entries, steps);
+                self.install_checkpoint(as_of, entries, steps);
             }
             Ok(StreamRecord::Reset) => {
                 self.base = Base::Known;
@@ -177,9 +181,14 @@
         }
     }
 
-    fn install<E>(&mut self, as_of: LogOffset, entries: Vec<E>, steps: &mut Vec<FoldStep<R, E>>) {
-        let Base::Awaited { start, changes } = &mut self.base else { return };
-        if as_of + 1 < *start {
+    fn install_checkpoint<E>(
+        &mut self,
+        as_of: LogOffset,
+        entries: Vec<E>,
+        steps: &mut Vec<FoldStep<R, E>>,
+    ) {
+        let Base::Unknown { first_offset, changes } = &mut self.base else { return };
+        if as_of + 1 < *first_offset {
             return;
         }
         steps.push(FoldStep::Replace(entries));
@@ -189,13 +198,13 @@
     }
 
     fn postpone_checkpoint(&mut self, now: Instant) {
-        self.checkpoint_at = Some(now + Duration::from_millis(CHECKPOINT_MS) + self.spread);
+        self.checkpoint_at = Some(now + Duration::from_millis(CHECKPOINT_PERIOD_MS) + self.jitter);
     }
 
-    /// A reset waits until everything held when the last record was read has lapsed, and until a
-    /// reader that knows the state would have written a checkpoint.
+    /// Schedules a reset for when everything valid at the last read has lapsed, and a reader that
+    /// knows the state would have appended a checkpoint.
     fn postpone_reset(&mut self, now: Instant) {
-        let silent_ms = self.lapse_ms.max(CHECKPOINT_MS + SPREAD_MS) + SPREAD_MS;
-        self.reset_at = Some(reader_deadline(now, silent_ms) + self.spread);
+        let idle_ms = self.max_valid_ms.max(CHECKPOINT_PERIOD_MS + MAX_JITTER_MS) + MAX_JITTER_MS;
+        self.reset_at = Some(reader_deadline(now, idle_ms) + self.jitter);
     }
 }
--- a/src/decision/leases/table.rs
+++ b/src/decision/leases/table.rs
@@ -1,4 +1,4 @@
-//! Fold of the stream `leases`: the same holder for every reader.
+//! Fold of the stream `leases`: computes the same holder of each lease on every node.
 
 use super::deadlines::reader_deadline;
 use super::messages::{LeaseAction, LeaseKind, LeaseRecord};
@@ -12,23 +12,24 @@
 /// Record on the stream `leases`.
 pub type LeaseStreamRecord = StreamRecord<LeaseRecord, LeaseEntry>;
 
-/// Last record in force of a lease.
+/// State of a lease after the last record in force.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct LeaseEntry {
     /// Lease.
     pub kind: LeaseKind,
-    /// Offset of the record.
+    /// Offset of the record in force.
     pub offset: LogOffset,
-    /// Offset of the record that acquired the lease.
+    /// Fencing number: offset of the record that acquired the lease.
     pub fencing_number: LogOffset,
     /// Holder, none after a release.
     pub holder: Option<InstanceId>,
-    /// Milliseconds that the lease lasts, 0 after a release.
+    /// Duration of the lease in milliseconds, 0 after a release.
     pub lease_ms: u64,
 }
 
+/// Lease as read from the log, and when another node may acquire it.
 #[derive(Clone, Debug)]
-struct ReadEntry {
+struct ReadLease {
     entry: LeaseEntry,
     free_at: Instant,
 }
@@ -37,40 +38,40 @@
 #[derive(Clone, Debug)]
 pub struct LeaseTable {
     reader: StreamReader<LeaseRecord>,
-    entries: BTreeMap<LeaseKind, ReadEntry>,
+    entries: BTreeMap<LeaseKind, ReadLease>,
 }
 
 impl LeaseTable {
-    /// Returns the table of a reader that has read nothing, of leases of at most `lease_ms`.
+    /// Returns the table of a node that has read nothing, for leases of at most `lease_ms`.
     pub fn new(instance: &InstanceId, lease_ms: u64) -> Self {
         Self { reader: StreamReader::new(instance, lease_ms), entries: BTreeMap::new() }
     }
 
-    /// Returns the offset to read from.
+    /// Returns the offset to read from next.
     pub fn next_offset(&self) -> LogOffset {
         self.reader.next_offset()
     }
 
-    /// Returns the last record in force of `kind`.
+    /// Returns the state of `kind` after its last record in force.
     pub fn entry(&self, kind: LeaseKind) -> Option<&LeaseEntry> {
         self.entries.get(&kind).map(|read| &read.entry)
     }
 
     /// Returns the offset of the last record in force of `kind`, 0 if none.
-    pub fn offset(&self, kind: LeaseKind) -> LogOffset {
+    pub fn last_offset(&self, kind: LeaseKind) -> LogOffset {
         self.entry(kind).map_or(0, |entry| entry.offset)
     }
 
-    /// Whether a record of `instance` that acquires `kind` may be sent at `now`.
-    pub fn is_open_to(&self, instance: &InstanceId, kind: LeaseKind, now: Instant) -> bool {
+    /// Whether `instance` may try to acquire `kind` at `now`.
+    pub fn can_acquire(&self, instance: &InstanceId, kind: LeaseKind, now: Instant) -> bool {
         self.reader.is_current()
             && self.entries.get(&kind).is_none_or(|read| {
                 now >= read.free_at || read.entry.holder.as_ref() == Some(instance)
             })
     }
 
-    /// Returns a checkpoint or reset to append, if one is due.
-    pub fn upkeep(&mut self, now: Instant) -> Option<LeaseStreamRecord> {
+    /// Returns the checkpoint or reset to append if one is due, and schedules the next one.
+    pub fn take_due_maintenance(&mut self, now: Instant) -> Option<LeaseStreamRecord> {
         if self.reader.take_reset_due(now) {
             return Some(StreamRecord::Reset);
         }
@@ -80,37 +81,38 @@
         })
     }
 
-    /// Folds a page that was asked for from offset `from`; returns the records that count.
+    /// Folds a page that was requested from `from_offset`; returns the records that took effect.
     pub fn fold_page(
         &mut self,
         page: &LogPage,
         from_offset: LogOffset,
         now: Instant,
     ) -> Vec<LeaseRecord> {
-        let mut counting = Vec::new();
+        let mut applied = Vec::new();
         for step in self.reader.read_page(page, from_offset, now) {
             match step {
                 FoldStep::Replace(entries) => self.install(entries, now),
                 FoldStep::Change { offset, record } => {
                     if self.apply(&record, offset, now) {
-                        counting.push(record);
+                        applied.push(record);
                     }
                 }
             }
         }
-        counting
+        applied
     }
 
     fn install(&mut self, entries: Vec<LeaseEntry>, now: Instant) {
         let read = |entry: LeaseEntry| {
             let free_at = reader_deadline(now, entry.lease_ms);
-            (entry.kind, ReadEntry { entry, free_at })
+            (entry.kind, ReadLease { entry, free_at })
         };
         self.entries = entries.into_iter().map(read).collect();
     }
 
+    /// Applies a record unless it replaces one that is no longer in force; returns whether it did.
     fn apply(&mut self, record: &LeaseRecord, offset: LogOffset, now: Instant) -> bool {
-        if record.replaces != self.offset(record.kind) {
+        if record.replaces != self.last_offset(record.kind) {
             return false;
         }
         let last = self.entry(record.kind);
@@ -123,7 +125,7 @@
             LeaseAction::Release => (None, 0, now),
         };
         let entry = LeaseEntry { kind: record.kind, offset, fencing_number, holder, lease_ms };
-        self.entries.insert(record.kind, ReadEntry { entry, free_at });
+        self.entries.insert(record.kind, ReadLease { entry, free_at });
         true
     }
 }
