--- a/src/decision/leaving/mod.rs
+++ b/src/decision/leaving/mod.rs
@@ -1,8 +1,9 @@
-//! Leaving backend servers, learnt from whichever source says so first.
+//! Backend servers that are leaving, as reported by whichever source is first.
 //!
-//! The sources are the platform's instance list, the server's own load report and the notices of
-//! partners. A server comes back only on newer evidence: a report of another incarnation that does
-//! not leave, or a list that shows it live after it showed it leaving.
+//! The sources are the platform's instance list, the server's own load report and notices from
+//! partners. A server counts as available again only on newer evidence: a load report of another
+//! incarnation that is not leaving, or an instance list that shows it live after an earlier list
+//! showed it leaving. Otherwise its leaving state expires.
 
 use crate::ports::{InstanceKind, InstanceRecord, InstanceState};
 use crate::types::{Incarnation, ServerId};
@@ -11,27 +12,27 @@
 use std::time::{Duration, Instant};
 use strum::{Display, IntoStaticStr};
 
-/// Time for which a server counts as leaving after the last word that it does.
-const FORGET_AFTER: Duration = Duration::from_secs(60);
+/// Time for which a server counts as leaving after the last report that it does.
+const LEAVING_TTL: Duration = Duration::from_secs(60);
 
-/// Source of the word that a server leaves.
+/// Source that first reported a server as leaving.
 #[derive(Clone, Copy, Debug, Display, Eq, IntoStaticStr, PartialEq)]
 #[strum(serialize_all = "snake_case")]
 pub enum LeavingSource {
-    /// Platform's instance list.
+    /// The platform's instance list.
     InstanceList,
     /// The server's own load report.
     LoadReport,
-    /// Notice of a partner.
+    /// A notice from a partner.
     Partner,
 }
 
-/// Notice to partners that a server leaves.
+/// Notice to partners that a server is leaving.
 #[derive(Clone, Debug, Eq, Hash, Ord, PartialEq, PartialOrd, Deserialize, Serialize)]
 pub struct LeavingNotice {
-    /// Server.
+    /// ServerEntry.
     pub server: ServerId,
-    /// Incarnation that leaves, 0 if only the instance list told.
+    /// Incarnation that is leaving, 0 if unknown because only the instance list has shown it.
     pub incarnation: Incarnation,
 }
 
@@ -42,11 +43,11 @@
     InstanceList(Vec<InstanceRecord>),
     /// A server reported its load.
     LoadReport {
-        /// Server.
+        /// ServerEntry.
         server: ServerId,
         /// Incarnation of the server.
         incarnation: Incarnation,
-        /// Whether it leaves.
+        /// Whether it is leaving.
         leaving: bool,
     },
     /// A partner sent notices.
@@ -55,39 +56,39 @@
     Tick,
 }
 
-/// Change that partners and routing must learn.
+/// Change to publish to partners and routing.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum LeavingChange {
-    /// The server leaves.
+    /// The server is leaving.
     Leaving {
         /// Notice for partners.
         notice: LeavingNotice,
-        /// First source.
+        /// Source that reported it first.
         source: LeavingSource,
     },
-    /// The server is back.
+    /// The server is available again.
     Returned(ServerId),
 }
 
-/// What is known about one server.
+/// Reports about one server.
 #[derive(Clone, Debug, Default)]
-struct Server {
-    /// Incarnation of the last report, 0 before one was read.
-    incarnation: Incarnation,
-    /// Incarnations that leave; 0 stands for the one that the list speaks of.
-    leaving: BTreeSet<Incarnation>,
-    listed_leaving: bool,
-    forget_at: Option<Instant>,
+struct ServerEntry {
+    /// Incarnation in the last load report, 0 before the first.
+    reported_incarnation: Incarnation,
+    /// Incarnations that are leaving; 0 stands for the one in the instance list.
+    leaving_incarnations: BTreeSet<Incarnation>,
+    is_listed_leaving: bool,
+    expires_at: Option<Instant>,
 }
 
-/// Backend servers that leave.
+/// Backend servers that are leaving, by name.
 #[derive(Clone, Debug, Default)]
 pub struct LeavingState {
-    servers: BTreeMap<ServerId, Server>,
+    servers: BTreeMap<ServerId, ServerEntry>,
 }
 
 impl LeavingState {
-    /// Applies `event` and returns the changes.
+    /// Applies `event` and returns the resulting changes.
     pub fn apply(&mut self, event: LeavingEvent, now: Instant) -> Vec<LeavingChange> {
         match event {
             LeavingEvent::InstanceList(instances) => self.apply_list(&instances, now),
@@ -96,22 +97,22 @@
             }
             LeavingEvent::PartnerNotices(notices) => notices
                 .into_iter()
-                .filter_map(|notice| self.add(notice, LeavingSource::Partner, now))
+                .filter_map(|notice| self.add_notice(notice, LeavingSource::Partner, now))
                 .collect(),
-            LeavingEvent::Tick => self.forget(now),
+            LeavingEvent::Tick => self.remove_expired(now),
         }
     }
 
-    /// Servers that must get no new work.
+    /// Servers that must not get new work.
     pub fn leaving_servers(&self) -> BTreeSet<ServerId> {
         let leaving = self.servers.iter().filter(|(_, server)| server.is_leaving());
         leaving.map(|(name, _)| name.clone()).collect()
     }
 
-    /// Notices for a partner that has just connected.
+    /// All notices, for a newly connected partner.
     pub fn notices(&self) -> Vec<LeavingNotice> {
         let notices = self.servers.iter().flat_map(|(name, server)| {
-            let leaving = server.leaving.iter();
+            let leaving = server.leaving_incarnations.iter();
             leaving.map(|incarnation| LeavingNotice {
                 server: name.clone(),
                 incarnation: *incarnation,
@@ -127,33 +128,35 @@
         for instance in servers {
             match instance.state {
                 InstanceState::Leaving => {
-                    changes.extend(self.list_leaving(&instance.name, now));
+                    changes.extend(self.apply_listed_leaving(&instance.name, now));
                 }
-                InstanceState::Live => changes.extend(self.list_live(&instance.name)),
+                InstanceState::Live => changes.extend(self.apply_listed_live(&instance.name)),
             }
         }
         changes
     }
 
-    /// A list that goes on showing a server as leaving says nothing about a later incarnation.
-    fn list_leaving(&mut self, name: &ServerId, now: Instant) -> Option<LeavingChange> {
+    /// Applies a server that the list shows as leaving. Only the first such list counts: a list that
+    /// still shows it as leaving says nothing about a later incarnation.
+    fn apply_listed_leaving(&mut self, name: &ServerId, now: Instant) -> Option<LeavingChange> {
         let server = self.servers.entry(name.clone()).or_default();
-        if std::mem::replace(&mut server.listed_leaving, true) {
-            server.forget_at = Some(now + FORGET_AFTER);
+        if std::mem::replace(&mut server.is_listed_leaving, true) {
+            server.expires_at = Some(now + LEAVING_TTL);
             return None;
         }
-        let notice = LeavingNotice { server: name.clone(), incarnation: server.incarnation };
-        self.add(notice, LeavingSource::InstanceList, now)
+        let notice =
+            LeavingNotice { server: name.clone(), incarnation: server.reported_incarnation };
+        self.add_notice(notice, LeavingSource::InstanceList, now)
     }
 
-    /// A server that the list showed as leaving and now shows as live is back. A list that has not
-    /// yet shown it as leaving only lags.
-    fn list_live(&mut self, name: &ServerId) -> Option<LeavingChange> {
+    /// Applies a server that the list shows as live. It is available again if an earlier list showed
+    /// it as leaving; otherwise the list may merely lag behind the other sources.
+    fn apply_listed_live(&mut self, name: &ServerId) -> Option<LeavingChange> {
         let server = self.servers.get_mut(name)?;
-        if !std::mem::take(&mut server.listed_leaving) {
+        if !std::mem::take(&mut server.is_listed_leaving) {
             return None;
         }
-        server.leaving.clear();
+        server.leaving_incarnations.clear();
         Some(LeavingChange::Returned(name.clone()))
     }
 
@@ -166,49 +169,52 @@
     ) -> Option<LeavingChange> {
         let server = self.servers.entry(name.clone()).or_default();
         let was_leaving = server.is_leaving();
-        let restarted = server.incarnation != 0 && server.incarnation != incarnation;
-        server.incarnation = incarnation;
+        let has_restarted =
+            server.reported_incarnation != 0 && server.reported_incarnation != incarnation;
+        server.reported_incarnation = incarnation;
         if leaving {
             let notice = LeavingNotice { server: name, incarnation };
-            return self.add(notice, LeavingSource::LoadReport, now);
+            return self.add_notice(notice, LeavingSource::LoadReport, now);
         }
-        if restarted {
-            server.leaving.retain(|leaving| *leaving == incarnation);
+        if has_restarted {
+            server.leaving_incarnations.retain(|leaving| *leaving == incarnation);
         }
         (was_leaving && !server.is_leaving()).then_some(LeavingChange::Returned(name))
     }
 
-    fn add(
+    fn add_notice(
         &mut self,
         notice: LeavingNotice,
         source: LeavingSource,
         now: Instant,
     ) -> Option<LeavingChange> {
         let server = self.servers.entry(notice.server.clone()).or_default();
-        server.forget_at = Some(now + FORGET_AFTER);
+        server.expires_at = Some(now + LEAVING_TTL);
         let was_leaving = server.is_leaving();
-        let is_new = server.leaving.insert(notice.incarnation);
+        let is_new = server.leaving_incarnations.insert(notice.incarnation);
         (is_new && !was_leaving && server.is_leaving())
             .then_some(LeavingChange::Leaving { notice, source })
     }
 
-    fn forget(&mut self, now: Instant) -> Vec<LeavingChange> {
-        let is_old = |server: &Server| server.forget_at.is_some_and(|at| at <= now);
-        let old: Vec<ServerId> = self
+    fn remove_expired(&mut self, now: Instant) -> Vec<LeavingChange> {
+        let is_expired = |server: &ServerEntry| server.expires_at.is_some_and(|at| at <= now);
+        let expired: Vec<ServerId> = self
             .servers
             .iter()
-            .filter(|(_, server)| is_old(server))
+            .filter(|(_, server)| is_expired(server))
             .map(|(name, _)| name.clone())
             .collect();
-        let removed = old.into_iter().filter_map(|name| self.servers.remove_entry(&name));
-        let back = removed.filter(|(_, server)| server.is_leaving());
-        back.map(|(name, _)| LeavingChange::Returned(name)).collect()
+        let removed = expired.into_iter().filter_map(|name| self.servers.remove_entry(&name));
+        let returned = removed.filter(|(_, server)| server.is_leaving());
+        returned.map(|(name, _)| LeavingChange::Returned(name)).collect()
     }
 }
 
-impl Server {
+impl ServerEntry {
     fn is_leaving(&self) -> bool {
-        let current = self.incarnation;
-        self.leaving.iter().any(|leaving| *leaving == 0 || current == 0 || *leaving == current)
+        let current = self.reported_incarnation;
+        self.leaving_incarnations
+            .iter()
+            .any(|leaving| *leaving == 0 || current == 0 || *leaving == current)
     }
 }
