--- a/tests/together/claims.rs
+++ b/tests/together/claims.rs
@@ -1,6 +1,8 @@
-//! Claims under every interleaving of nodes, log, pauses, losses, duplicates and crashes.
+//! Property test of claims: under random interleavings of requests, appends, reads, crashes and
+//! delayed, lost or duplicate messages, a call must not run twice or be reported "not run" after it
+//! ran.
 
-use crate::claims_world::{AppendFate, CallFate, World};
+use crate::claims_world::{AppendOutcome, CallOutcome, World};
 use crate::proptest_config;
 use coriandertide::decision::claims::ClaimEvent;
 use proptest::prelude::*;
@@ -8,11 +10,11 @@
 #[derive(Clone, Debug)]
 enum Step {
     Begin { node: usize, key: u8, fingerprint: u64 },
-    Append { node: usize, fate: AppendFate },
-    AppendLate,
-    Read { node: usize, limit: usize, late: bool },
-    DeliverLatePage,
-    RunCall { node: usize, fate: CallFate },
+    Append { node: usize, outcome: AppendOutcome },
+    DeliverDelayedAppend,
+    Read { node: usize, limit: usize, delayed: bool },
+    DeliverDelayedPage,
+    RunCall { node: usize, outcome: CallOutcome },
     Advance { ms: u64 },
     Tick { node: usize },
     Crash { node: usize },
@@ -22,17 +24,17 @@
 
 fn step() -> impl Strategy<Value = Step> {
     let node = 0..NODES;
-    let append_fate = prop_oneof![
-        6 => Just(AppendFate::Done),
-        1 => Just(AppendFate::AnswerLost),
-        1 => Just(AppendFate::Lost),
-        1 => Just(AppendFate::Late),
-        1 => Just(AppendFate::LateTwice),
+    let append_outcome = prop_oneof![
+        6 => Just(AppendOutcome::Done),
+        1 => Just(AppendOutcome::AnswerLost),
+        1 => Just(AppendOutcome::Lost),
+        1 => Just(AppendOutcome::Delayed),
+        1 => Just(AppendOutcome::DelayedTwice),
     ];
-    let call_fate = prop_oneof![
-        3 => Just(CallFate::Answer),
-        2 => Just(CallFate::NotSent),
-        1 => Just(CallFate::Unknown),
+    let call_outcome = prop_oneof![
+        3 => Just(CallOutcome::Answer),
+        2 => Just(CallOutcome::NotSent),
+        1 => Just(CallOutcome::Unknown),
     ];
     let fingerprint = prop_oneof![6 => Just(1u64), 1 => Just(2)];
     let limit = prop_oneof![4 => Just(usize::MAX), 1 => Just(1)];
@@ -40,12 +42,14 @@
     prop_oneof![
         6 => (node.clone(), 0..10u8, fingerprint)
             .prop_map(|(node, key, fingerprint)| Step::Begin { node, key, fingerprint }),
-        8 => (node.clone(), append_fate).prop_map(|(node, fate)| Step::Append { node, fate }),
-        2 => Just(Step::AppendLate),
+        8 => (node.clone(), append_outcome)
+            .prop_map(|(node, outcome)| Step::Append { node, outcome }),
+        2 => Just(Step::DeliverDelayedAppend),
         9 => (node.clone(), limit, prop::bool::weighted(0.15))
-            .prop_map(|(node, limit, late)| Step::Read { node, limit, late }),
-        1 => Just(Step::DeliverLatePage),
-        6 => (node.clone(), call_fate).prop_map(|(node, fate)| Step::RunCall { node, fate }),
+            .prop_map(|(node, limit, delayed)| Step::Read { node, limit, delayed }),
+        1 => Just(Step::DeliverDelayedPage),
+        6 => (node.clone(), call_outcome)
+            .prop_map(|(node, outcome)| Step::RunCall { node, outcome }),
         4 => ms.prop_map(|ms| Step::Advance { ms }),
         2 => node.clone().prop_map(|node| Step::Tick { node }),
         1 => node.prop_map(|node| Step::Crash { node }),
@@ -63,11 +67,11 @@
                 Step::Begin { node, key, fingerprint } => {
                     world.begin(node, key, fingerprint);
                 }
-                Step::Append { node, fate } => world.append(node, fate),
-                Step::AppendLate => world.append_late(),
-                Step::Read { node, limit, late } => world.read(node, limit, late),
-                Step::DeliverLatePage => world.deliver_late_page(),
-                Step::RunCall { node, fate } => world.run_call(node, fate),
+                Step::Append { node, outcome } => world.append(node, outcome),
+                Step::DeliverDelayedAppend => world.deliver_delayed_append(),
+                Step::Read { node, limit, delayed } => world.read(node, limit, delayed),
+                Step::DeliverDelayedPage => world.deliver_delayed_page(),
+                Step::RunCall { node, outcome } => world.run_call(node, outcome),
                 Step::Advance { ms } => world.advance(ms),
                 Step::Tick { node } => world.apply(node, ClaimEvent::Tick),
                 Step::Crash { node } => world.crash(node),
--- a/tests/together/claims_cases.rs
+++ b/tests/together/claims_cases.rs
@@ -1,6 +1,6 @@
-//! Single cases of claims.
+//! Cases of claims: retries, lost appends, log outages, releases, and logs that may hide claims.
 
-use crate::claims_world::{AppendFate, CallFate, SETTINGS, World};
+use crate::claims_world::{AppendOutcome, CallOutcome, SETTINGS, World};
 use bytes::Bytes;
 use coriandertide::decision::claims::{ClaimsSettings, encode_record, hash_key, key_created_at};
 use coriandertide::types::Faults;
@@ -18,8 +18,8 @@
         world.read(node, 10, false);
         world.begin(node, 1, 1);
     }
-    world.append(1, AppendFate::Done);
-    world.append(0, AppendFate::Done);
+    world.append(1, AppendOutcome::Done);
+    world.append(0, AppendOutcome::Done);
     world.settle();
     insta::assert_snapshot!(endings(&world), @r"
     request-3: unknown
@@ -28,23 +28,23 @@
 }
 
 #[test]
-fn lost_append_answer_is_repeated_under_the_same_claim() {
+fn append_with_lost_answer_is_repeated_under_the_same_claim() {
     let mut world = World::new(1);
     world.read(0, 10, false);
     world.begin(0, 1, 1);
-    world.append(0, AppendFate::AnswerLost);
+    world.append(0, AppendOutcome::AnswerLost);
     world.settle();
     insta::assert_snapshot!(endings(&world), @"request-2: answer");
     assert_eq!(world.ledger.runs_ms.len(), 1);
 }
 
 #[test]
-fn log_outage_refuses_and_the_same_key_runs_afterwards() {
+fn calls_are_refused_in_a_log_outage_and_run_afterwards() {
     let mut world = World::new(1);
     world.read(0, 10, false);
     world.begin(0, 1, 1);
     for _ in 0..12 {
-        world.append(0, AppendFate::Lost);
+        world.append(0, AppendOutcome::Lost);
         world.advance(100);
         world.apply(0, coriandertide::decision::claims::ClaimEvent::Tick);
     }
@@ -59,14 +59,14 @@
 }
 
 #[test]
-fn a_key_that_was_not_run_is_free_for_another_node() {
+fn key_of_a_call_that_was_not_run_is_free_for_another_node() {
     let mut world = World::new(2);
     world.read(0, 10, false);
     world.begin(0, 1, 1);
-    world.append(0, AppendFate::Done);
+    world.append(0, AppendOutcome::Done);
     world.read(0, 10, false);
-    world.run_call(0, CallFate::NotSent);
-    world.append(0, AppendFate::Done);
+    world.run_call(0, CallOutcome::NotSent);
+    world.append(0, AppendOutcome::Done);
     world.read(1, 10, false);
     world.begin(1, 1, 1);
     world.settle();
@@ -77,14 +77,14 @@
 }
 
 #[test]
-fn a_repeated_call_gets_the_kept_answer_and_a_reused_key_is_refused() {
+fn retry_gets_the_kept_answer_and_reused_key_is_refused() {
     let mut world = World::new(1);
     world.read(0, 10, false);
     world.begin(0, 1, 1);
     world.begin(0, 1, 1);
-    world.append(0, AppendFate::Done);
+    world.append(0, AppendOutcome::Done);
     world.read(0, 10, false);
-    world.run_call(0, CallFate::Answer);
+    world.run_call(0, CallOutcome::Answer);
     world.begin(0, 1, 1);
     world.begin(0, 1, 2);
     world.crash(0);
@@ -115,7 +115,7 @@
 }
 
 #[test]
-fn settings_must_fit_each_other() {
+fn inconsistent_settings_are_reported() {
     let mut faults = Faults::default();
     ClaimsSettings::default().check("claims", &mut faults);
     assert!(faults.0.is_empty());
@@ -124,13 +124,13 @@
 }
 
 #[test]
-fn a_log_that_drops_records_early_stops_claims() {
+fn claims_stop_if_the_log_drops_records_early() {
     let mut world = World::new(2);
     world.read(1, 10, false);
     run_on_first_node(&mut world);
-    world.drop_log();
+    world.expire_log();
     world.begin(1, 1, 1);
-    world.append(1, AppendFate::Done);
+    world.append(1, AppendOutcome::Done);
     world.settle();
     insta::assert_snapshot!(endings(&world), @r"
     request-3: answer
@@ -139,12 +139,12 @@
 }
 
 #[test]
-fn a_page_with_a_hole_is_not_folded() {
+fn page_with_a_gap_is_not_folded() {
     let mut world = World::new(2);
     world.read(1, 10, false);
     run_on_first_node(&mut world);
     world.begin(1, 1, 1);
-    world.append(1, AppendFate::Done);
+    world.append(1, AppendOutcome::Done);
     world.read_skipping(1, 1);
     assert!(world.nodes[1].runs.is_empty());
     world.settle();
@@ -155,7 +155,7 @@
 }
 
 #[test]
-fn records_of_a_newer_build_stop_claims() {
+fn claims_stop_after_a_record_of_a_newer_build() {
     let mut world = World::new(1);
     world.append_raw(newer_record());
     world.begin(0, 1, 1);
@@ -171,12 +171,12 @@
 fn run_on_first_node(world: &mut World) {
     world.read(0, 10, false);
     world.begin(0, 1, 1);
-    world.append(0, AppendFate::Done);
+    world.append(0, AppendOutcome::Done);
     world.read(0, 10, false);
-    world.run_call(0, CallFate::Answer);
+    world.run_call(0, CallOutcome::Answer);
 }
 
-/// Record with the version after the current one.
+/// Returns an empty record of the next format version.
 fn newer_record() -> Bytes {
     let payload = encode_record(&[]);
     let current = b"gversion\x01";
@@ -188,12 +188,12 @@
 }
 
 #[test]
-fn a_claim_that_turns_up_after_it_was_given_up_is_released() {
+fn timed_out_claim_that_appears_on_the_log_is_released() {
     let mut world = World::new(2);
     world.begin(0, 1, 1);
-    world.append(0, AppendFate::Late);
+    world.append(0, AppendOutcome::Delayed);
     world.advance(SETTINGS.claim_timeout_ms + SETTINGS.claim_reuse_ms);
-    world.append_late();
+    world.deliver_delayed_append();
     world.settle();
     world.begin(1, 1, 1);
     world.settle();
@@ -204,18 +204,18 @@
 }
 
 #[test]
-fn a_late_duplicate_of_a_release_frees_nothing() {
+fn delayed_duplicate_of_a_release_frees_nothing() {
     let mut world = World::new(2);
     world.begin(0, 1, 1);
-    world.append(0, AppendFate::Done);
+    world.append(0, AppendOutcome::Done);
     world.read(0, 10, false);
-    world.run_call(0, CallFate::NotSent);
-    world.append(0, AppendFate::LateTwice);
-    world.append_late();
+    world.run_call(0, CallOutcome::NotSent);
+    world.append(0, AppendOutcome::DelayedTwice);
+    world.deliver_delayed_append();
     world.begin(1, 1, 1);
-    world.append(1, AppendFate::Done);
+    world.append(1, AppendOutcome::Done);
     world.read(1, 10, false);
-    world.run_call(1, CallFate::Unknown);
+    world.run_call(1, CallOutcome::Unknown);
     world.settle();
     world.begin(0, 1, 1);
     world.settle();
--- a/tests/together/claims_world.rs
+++ b/tests/together/claims_world.rs
@@ -1,4 +1,4 @@
-//! Nodes, a log and a naive ledger that sees every run and every verdict.
+//! Simulation of claims: nodes, a log, and a ledger that checks every run and every verdict.
 
 use bytes::Bytes;
 use coriandertide::decision::claims::{
@@ -23,22 +23,24 @@
     max_kept_answers_bytes: 4_096,
     max_pending_claims: 64,
 };
-/// Log clock at the start of a test.
-const START_UNIX_MS: u64 = 1_800_000_000_000;
-/// Keys from this index on carry a time.
-pub const FIRST_TIMED_KEY: u8 = 4;
+/// Time of the log's clock at the start of a test.
+const LOG_START_UNIX_MS: u64 = 1_800_000_000_000;
+/// First key that contains a creation time.
+pub const FIRST_KEY_WITH_TIME: u8 = 4;
 
+/// What happens to an append.
 #[derive(Clone, Copy, Debug)]
-pub enum AppendFate {
+pub enum AppendOutcome {
     Done,
     AnswerLost,
     Lost,
-    Late,
-    LateTwice,
+    Delayed,
+    DelayedTwice,
 }
 
+/// What happens to a call that a node runs.
 #[derive(Clone, Copy, Debug)]
-pub enum CallFate {
+pub enum CallOutcome {
     Answer,
     NotSent,
     Unknown,
@@ -60,11 +62,11 @@
 
 #[derive(Default)]
 pub struct Ledger {
-    /// Times of the runs of each key.
+    /// Times at which each key's call ran.
     pub runs_ms: BTreeMap<KeyHash, Vec<u64>>,
     pub started: BTreeSet<RequestId>,
     pub endings: BTreeMap<RequestId, &'static str>,
-    open: BTreeMap<RequestId, (String, KeyHash)>,
+    open_requests: BTreeMap<RequestId, (String, KeyHash)>,
 }
 
 pub struct World {
@@ -74,8 +76,8 @@
     log: Vec<LogRecord>,
     first_offset: u64,
     next_offset: u64,
-    late_appends: Vec<Bytes>,
-    late_pages: Vec<(usize, LogPage)>,
+    delayed_appends: Vec<Bytes>,
+    delayed_pages: Vec<(usize, LogPage)>,
     pub ledger: Ledger,
     next_id: u64,
 }
@@ -89,8 +91,8 @@
             log: Vec::new(),
             first_offset: 1,
             next_offset: 1,
-            late_appends: Vec::new(),
-            late_pages: Vec::new(),
+            delayed_appends: Vec::new(),
+            delayed_pages: Vec::new(),
             ledger: Ledger::default(),
             next_id: 0,
         };
@@ -113,14 +115,14 @@
     }
 
     fn log_time(&self, ms: u64) -> SystemTime {
-        UNIX_EPOCH + Duration::from_millis(START_UNIX_MS + ms)
+        UNIX_EPOCH + Duration::from_millis(LOG_START_UNIX_MS + ms)
     }
 
     pub fn begin(&mut self, node: usize, key: u8, fingerprint: u64) -> RequestId {
         self.next_id += 1;
         let request = format_smolstr!("request-{}", self.next_id);
-        let key_created_at = (key >= FIRST_TIMED_KEY)
-            .then(|| self.log_time(u64::from(key - FIRST_TIMED_KEY) * 10_000));
+        let key_created_at = (key >= FIRST_KEY_WITH_TIME)
+            .then(|| self.log_time(u64::from(key - FIRST_KEY_WITH_TIME) * 10_000));
         let event = ClaimEvent::Begin(ClaimRequest {
             request_id: request.clone(),
             key: key.into(),
@@ -128,7 +130,9 @@
             key_created_at,
             deadline: self.now() + Duration::from_secs(8),
         });
-        self.ledger.open.insert(request.clone(), (self.nodes[node].name.clone(), key.into()));
+        self.ledger
+            .open_requests
+            .insert(request.clone(), (self.nodes[node].name.clone(), key.into()));
         self.apply(node, event);
         request
     }
@@ -142,16 +146,16 @@
                 }
                 ClaimCommand::ReadThrough(_) => {}
                 ClaimCommand::Verdict { request_id, verdict } => {
-                    self.judge(node, request_id, verdict);
+                    self.handle_verdict(node, request_id, verdict);
                 }
             }
         }
     }
 
-    fn judge(&mut self, node: usize, request: RequestId, verdict: ClaimVerdict) {
+    fn handle_verdict(&mut self, node: usize, request: RequestId, verdict: ClaimVerdict) {
         match verdict {
             ClaimVerdict::Run { claim, start_deadline } => {
-                let key = self.ledger.open[&request].1;
+                let key = self.ledger.open_requests[&request].1;
                 self.nodes[node].runs.push(Run { claim, key, request, start_deadline });
             }
             ClaimVerdict::Answer(_) => self.ledger.end(request, "answer"),
@@ -160,43 +164,43 @@
         }
     }
 
-    /// Starts the oldest call that `node` was told to run, and ends it.
-    pub fn run_call(&mut self, node: usize, fate: CallFate) {
+    /// Runs the oldest call with the verdict `Run` on `node` to its end.
+    pub fn run_call(&mut self, node: usize, outcome: CallOutcome) {
         if self.nodes[node].runs.is_empty() {
             return;
         }
         let Run { claim, key, request, start_deadline } = self.nodes[node].runs.remove(0);
-        let starts = self.now() < start_deadline && !matches!(fate, CallFate::NotSent);
-        let (ending, word) = match fate {
-            _ if !starts => (RunEnding::NotRun, "not run"),
-            CallFate::Answer => (RunEnding::Answer(Arc::new(response())), "answer"),
-            CallFate::Unknown | CallFate::NotSent => (RunEnding::OutcomeUnknown, "unknown"),
+        let is_started = self.now() < start_deadline && !matches!(outcome, CallOutcome::NotSent);
+        let (ending, ending_name) = match outcome {
+            _ if !is_started => (RunEnding::NotRun, "not run"),
+            CallOutcome::Answer => (RunEnding::Answer(Arc::new(response())), "answer"),
+            CallOutcome::Unknown | CallOutcome::NotSent => (RunEnding::OutcomeUnknown, "unknown"),
         };
-        if starts {
+        if is_started {
             self.ledger.start(key, &request, self.now_ms);
         }
-        self.ledger.end(request, word);
+        self.ledger.end(request, ending_name);
         self.apply(node, ClaimEvent::RunEnded { claim, key, ending });
     }
 
-    pub fn append(&mut self, node: usize, fate: AppendFate) {
+    pub fn append(&mut self, node: usize, outcome: AppendOutcome) {
         if self.nodes[node].appends.is_empty() {
             return;
         }
         let (batch, payload) = self.nodes[node].appends.remove(0);
-        let offset = match fate {
-            AppendFate::Done => Some(self.append_record(payload)),
-            AppendFate::AnswerLost => {
+        let offset = match outcome {
+            AppendOutcome::Done => Some(self.append_record(payload)),
+            AppendOutcome::AnswerLost => {
                 self.append_record(payload);
                 None
             }
-            AppendFate::Lost => None,
-            AppendFate::Late => {
-                self.late_appends.push(payload);
+            AppendOutcome::Lost => None,
+            AppendOutcome::Delayed => {
+                self.delayed_appends.push(payload);
                 None
             }
-            AppendFate::LateTwice => {
-                self.late_appends.extend([payload.clone(), payload]);
+            AppendOutcome::DelayedTwice => {
+                self.delayed_appends.extend([payload.clone(), payload]);
                 None
             }
         };
@@ -216,8 +220,8 @@
         self.append_record(payload);
     }
 
-    /// Drops all records before their time.
-    pub fn drop_log(&mut self) {
+    /// Drops all records before the end of the log's retention.
+    pub fn expire_log(&mut self) {
         self.log.clear();
         self.first_offset = self.next_offset;
     }
@@ -229,9 +233,9 @@
         self.apply(node, ClaimEvent::Page(page));
     }
 
-    pub fn append_late(&mut self) {
-        if !self.late_appends.is_empty() {
-            let payload = self.late_appends.remove(0);
+    pub fn deliver_delayed_append(&mut self) {
+        if !self.delayed_appends.is_empty() {
+            let payload = self.delayed_appends.remove(0);
             self.append_record(payload);
         }
     }
@@ -243,18 +247,18 @@
         LogPage { first_offset: self.first_offset, next_offset: self.next_offset, records }
     }
 
-    pub fn read(&mut self, node: usize, limit: usize, late: bool) {
+    pub fn read(&mut self, node: usize, limit: usize, delayed: bool) {
         let page = self.page(node, limit);
-        if late {
-            self.late_pages.push((node, page));
+        if delayed {
+            self.delayed_pages.push((node, page));
         } else {
             self.apply(node, ClaimEvent::Page(page));
         }
     }
 
-    pub fn deliver_late_page(&mut self) {
-        if !self.late_pages.is_empty() {
-            let (node, page) = self.late_pages.remove(0);
+    pub fn deliver_delayed_page(&mut self) {
+        if !self.delayed_pages.is_empty() {
+            let (node, page) = self.delayed_pages.remove(0);
             self.apply(node, ClaimEvent::Page(page));
         }
     }
@@ -266,40 +270,42 @@
         self.first_offset = self.log.first().map_or(self.next_offset, |record| record.offset);
     }
 
-    /// Replaces a node by a new one with an empty memory; its calls lose their callers.
+    /// Replaces a node by a new one without state; its open requests get no verdict.
     pub fn crash(&mut self, node: usize) {
         let appends = std::mem::take(&mut self.nodes[node].appends);
-        self.late_appends.extend(appends.into_iter().map(|(_, payload)| payload));
+        self.delayed_appends.extend(appends.into_iter().map(|(_, payload)| payload));
         let name = self.nodes[node].name.clone();
-        self.ledger.open.retain(|_, (owner, _)| *owner != name);
-        self.late_pages.retain(|(owner, _)| *owner != node);
+        self.ledger.open_requests.retain(|_, (owner, _)| *owner != name);
+        self.delayed_pages.retain(|(owner, _)| *owner != node);
         self.nodes[node] = self.new_node();
     }
 
-    /// Lets everything succeed until nothing is open.
+    /// Runs without faults until every request has ended.
     pub fn settle(&mut self) {
         for _ in 0..200 {
-            self.append_late();
+            self.deliver_delayed_append();
             for node in 0..self.nodes.len() {
-                self.append(node, AppendFate::Done);
+                self.append(node, AppendOutcome::Done);
                 self.read(node, usize::MAX, false);
-                self.run_call(node, CallFate::Answer);
+                self.run_call(node, CallOutcome::Answer);
                 self.apply(node, ClaimEvent::Tick);
             }
             self.advance(100);
         }
-        let open: Vec<_> = self.ledger.open.keys().collect();
-        assert!(open.is_empty(), "requests without an ending: {open:?}");
+        let open_requests: Vec<_> = self.ledger.open_requests.keys().collect();
+        assert!(open_requests.is_empty(), "requests without an ending: {open_requests:?}");
     }
 }
 
 impl Ledger {
+    /// Checks that a call may run now: its key has not run before, or so long ago that a key
+    /// without a creation time is free again.
     fn start(&mut self, key: KeyHash, request: &RequestId, now_ms: u64) {
         let runs_ms = self.runs_ms.entry(key).or_default();
         if let Some(last_ms) = runs_ms.last() {
-            let is_timed = key >= FIRST_TIMED_KEY.into();
+            let has_creation_time = key >= FIRST_KEY_WITH_TIME.into();
             assert!(
-                !is_timed && now_ms - last_ms > SETTINGS.key_age_ms,
+                !has_creation_time && now_ms - last_ms > SETTINGS.key_age_ms,
                 "key {key} ran at {last_ms} ms and at {now_ms} ms"
             );
         }
@@ -308,8 +314,9 @@
         self.started.insert(request.clone());
     }
 
+    /// Checks that a request ends once, and not as "not run" after its call ran.
     fn end(&mut self, request: RequestId, ending: &'static str) {
-        assert!(self.open.remove(&request).is_some(), "{request} has two endings");
+        assert!(self.open_requests.remove(&request).is_some(), "{request} has two endings");
         let ran = self.started.contains(&request);
         assert!(ending != "not run" || !ran, "{request} ran and is said not to have run");
         self.endings.insert(request, ending);
--- a/tests/together/leaving.rs
+++ b/tests/together/leaving.rs
@@ -1,9 +1,10 @@
-//! Leaving servers by each source, and the evidence on which one comes back.
+//! Leaving servers: each source that reports one, and what makes it available again.
 
 use coriandertide::decision::leaving::{LeavingEvent, LeavingNotice, LeavingState};
 use coriandertide::ports::{InstanceKind, InstanceRecord, InstanceState};
 use std::time::{Duration, Instant};
 
+/// State under test, with a line for the leaving servers after each event.
 struct Case {
     state: LeavingState,
     now: Instant,
@@ -48,7 +49,7 @@
 }
 
 #[test]
-fn the_list_comes_first_and_lags_behind_a_restart() {
+fn instance_list_reports_first_and_lags_behind_a_restart() {
     let mut case = Case::new();
     case.report(7, false);
     case.list(InstanceState::Leaving);
@@ -71,7 +72,7 @@
 }
 
 #[test]
-fn the_servers_own_word_holds_against_a_list_that_lags() {
+fn load_report_outweighs_a_lagging_instance_list() {
     let mut case = Case::new();
     case.list(InstanceState::Live);
     case.report(7, true);
@@ -86,7 +87,7 @@
 }
 
 #[test]
-fn a_notice_of_an_old_incarnation_does_not_count() {
+fn notice_of_an_old_incarnation_is_ignored() {
     let mut case = Case::new();
     case.report(8, false);
     case.notice(7);
@@ -106,7 +107,7 @@
 }
 
 #[test]
-fn a_server_that_left_before_it_was_ever_asked_is_back_with_its_second_incarnation() {
+fn server_listed_leaving_before_its_first_report_returns_with_its_second_incarnation() {
     let mut case = Case::new();
     case.list(InstanceState::Leaving);
     case.report(7, false);
--- a/tests/together/links.rs
+++ b/tests/together/links.rs
@@ -1,4 +1,5 @@
-//! Partner links on loopback: authentication, skipped kinds, closing, and what waits for a budget.
+//! Partner links over loopback: authentication, unknown message kinds, closing, and the order in
+//! which an outbox sends.
 
 use bytes::Bytes;
 use coriandertide::decision::leaving::LeavingNotice;
@@ -24,40 +25,41 @@
     Identity { key: key.into(), me }
 }
 
-struct Opened {
+/// Results of opening a link, one for each end.
+struct LinkPair {
     dialer: PeerResult<Link>,
     listener: PeerResult<Link>,
 }
 
-/// Opens a link between a dialer and a listener with the keys given.
-fn open(dialer_key: &str, listener_key: &str) -> Opened {
+/// Opens a link between a dialer and a listener that have these partner keys.
+fn open(dialer_key: &str, listener_key: &str) -> LinkPair {
     let (dialer, listener) = (identity("a", dialer_key), identity("b", listener_key));
     smol::block_on(async {
         let socket = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let address = socket.local_addr().unwrap();
         let accepted = async { accept(socket.accept().await.unwrap().0, &listener).await };
         let (dialer, listener) = smol::future::zip(dial(address, &dialer), accepted).await;
-        Opened { dialer, listener }
+        LinkPair { dialer, listener }
     })
 }
 
 #[test]
-fn peers_with_the_same_key_learn_each_others_record() {
-    let opened = open("the shared key", "the shared key");
-    assert_eq!(opened.dialer.unwrap().peer().instance, "b");
-    assert_eq!(opened.listener.unwrap().peer().instance, "a");
+fn peers_with_the_same_key_exchange_member_records() {
+    let links = open("the shared key", "the shared key");
+    assert_eq!(links.dialer.unwrap().peer().instance, "b");
+    assert_eq!(links.listener.unwrap().peer().instance, "a");
 }
 
 #[test]
-fn a_peer_with_another_key_is_refused_on_both_sides() {
-    let opened = open("a wrong key", "the shared key");
-    assert!(opened.dialer.is_err());
-    let error = opened.listener.err().unwrap();
+fn peer_with_another_key_is_refused_on_both_sides() {
+    let links = open("a wrong key", "the shared key");
+    assert!(links.dialer.is_err());
+    let error = links.listener.err().unwrap();
     assert!(error.to_string().contains("the proof does not hold"), "{error}");
 }
 
 #[test]
-fn a_recorded_proof_holds_for_no_other_challenge_side_or_record() {
+fn proof_is_valid_only_for_its_challenge_side_and_record() {
     let identity = identity("a", "the shared key");
     let challenge = Challenge::new().unwrap();
     let proof = Proof::new(&identity, Side::Dialer, &challenge, 7);
@@ -75,8 +77,8 @@
 }
 
 #[test]
-fn messages_arrive_in_order_newer_kinds_are_skipped_and_the_end_is_in_order() {
-    let opened = open("the shared key", "the shared key");
+fn messages_arrive_in_order_newer_kinds_are_skipped_and_the_link_closes_cleanly() {
+    let links = open("the shared key", "the shared key");
     let (to_listener, dialer_queue) = async_channel::bounded(8);
     let (to_dialer, listener_queue) = async_channel::bounded(8);
     let (incoming, received) = async_channel::bounded(8);
@@ -86,8 +88,8 @@
     to_listener.try_send(request.encode()).unwrap();
     to_listener.close();
     let ends = smol::block_on(smol::future::zip(
-        opened.dialer.unwrap().run(dialer_queue, ignored),
-        opened.listener.unwrap().run(listener_queue, incoming),
+        links.dialer.unwrap().run(dialer_queue, ignored),
+        links.listener.unwrap().run(listener_queue, incoming),
     ));
     drop(to_dialer);
     assert!(matches!(ends, (LinkEnd::InOrder, LinkEnd::InOrder)), "{ends:?}");
@@ -96,7 +98,7 @@
 }
 
 #[test]
-fn what_is_no_message_is_an_error() {
+fn malformed_messages_are_rejected() {
     assert!(PartnerMessage::decode(b"\xff").is_err());
     assert!(PartnerMessage::decode(b"\xa1\x67members\x01").is_err());
     let novel = PartnerMessage::decode(b"\xa1\x65novel\x01").unwrap();
@@ -104,7 +106,7 @@
 }
 
 #[test]
-fn an_outbox_sends_the_valuable_first_and_only_the_latest_record() {
+fn outbox_sends_by_priority_and_only_the_latest_member_record() {
     let mut outbox = Outbox::default();
     let member = |version| MemberRecord { version, ..identity("a", "key").me };
     outbox.add_members([member(1)]);
@@ -120,7 +122,7 @@
 }
 
 #[test]
-fn the_keyed_hash_is_hmac() {
+fn hmac_sha256_matches_rfc_4231() {
     // Test case 2 of RFC 4231.
     let mut text = String::new();
     for byte in hmac_sha256(b"Jefe", b"what do ya want for nothing?") {
--- a/tests/together/main.rs
+++ b/tests/together/main.rs
@@ -1,6 +1,6 @@
-//! Nodes acting together: claims, membership, leaving servers and partner links.
+//! Tests of what nodes decide together: claims, membership, leaving servers and partner links.
 
-#![allow(clippy::unwrap_used, reason = "a failed step of a test is to panic")]
+#![allow(clippy::unwrap_used, reason = "a failed step must fail the test")]
 
 mod claims;
 mod claims_cases;
