--- a/tests/power/leases.rs
+++ b/tests/power/leases.rs
@@ -1,4 +1,5 @@
-//! Leases: at most one holder, and effective orders in the order of their fencing numbers.
+//! Property test of leases: despite pauses, restarts, log outages and drifting clocks, a lease must
+//! not have two holders, and no order of an earlier holder may apply after one of a later holder.
 
 use crate::world::{Clock, FakeLog, config};
 use coriandertide::decision::leases::{
@@ -10,10 +11,10 @@
 
 const KIND: LeaseKind = LeaseKind::Placement;
 const STEP_MS: u64 = 200;
-/// Retention of the log; records younger than this are never lost.
+/// Retention of the log: records younger than this never expire.
 const RETENTION_MS: u64 = 120_000;
-/// Thousandths of true speed at which the nodes' clocks run.
-const CLOCK_PER_MILLE: [u64; 3] = [996, 1_000, 1_004];
+/// Rates of the nodes' clocks, in thousandths of true time.
+const CLOCK_RATES_PER_MILLE: [u64; 3] = [996, 1_000, 1_004];
 
 #[derive(Clone, Debug)]
 enum Op {
@@ -44,11 +45,11 @@
 #[derive(Clone, Copy)]
 struct Order {
     fencing_number: u64,
-    due_ms: u64,
+    arrives_at_ms: u64,
     checks_fencing: bool,
 }
 
-/// Three nodes, the log, an engine of each kind, and what took effect on them.
+/// Three nodes, the log, and two engines, of which only one checks fencing numbers.
 struct World {
     settings: LeaseSettings,
     now_ms: u64,
@@ -57,8 +58,9 @@
     nodes: Vec<Node>,
     restarts: u64,
     orders: Vec<Order>,
-    highest_seen: u64,
-    effective: [Vec<u64>; 2],
+    highest_fencing_number: u64,
+    /// Fencing numbers of applied orders: index 1 for the engine that checks them, 0 for the other.
+    applied_fencing_numbers: [Vec<u64>; 2],
     acquisitions: usize,
 }
 
@@ -66,7 +68,7 @@
     fn new(seed: u64, lease_ms: u64) -> Self {
         let settings = LeaseSettings { lease_ms, ..LeaseSettings::default() };
         let epoch = Instant::now();
-        let nodes = CLOCK_PER_MILLE.iter().enumerate().map(|(index, per_mille)| Node {
+        let nodes = CLOCK_RATES_PER_MILLE.iter().enumerate().map(|(index, per_mille)| Node {
             clock: Clock::new(epoch, *per_mille),
             state: new_state(index, 0, settings),
             paused_until_ms: 0,
@@ -79,8 +81,8 @@
             nodes: nodes.collect(),
             restarts: 0,
             orders: Vec::new(),
-            highest_seen: 0,
-            effective: [Vec::new(), Vec::new()],
+            highest_fencing_number: 0,
+            applied_fencing_numbers: [Vec::new(), Vec::new()],
             acquisitions: 0,
         }
     }
@@ -116,7 +118,7 @@
                 self.apply(index, LeaseEvent::Page { page, from_offset });
             }
             self.apply(index, LeaseEvent::Tick);
-            self.give_orders(index);
+            self.send_orders(index);
         }
         self.deliver_orders();
         self.check_holders();
@@ -137,41 +139,42 @@
         }
     }
 
-    /// Sends an order to each engine. An order may be under way for as long as the settings allow;
-    /// to the engine that checks fencing numbers, for much longer.
-    fn give_orders(&mut self, index: usize) {
+    /// Sends an order to each engine. An order may take as long as the settings allow, and much
+    /// longer to the engine that checks fencing numbers.
+    fn send_orders(&mut self, index: usize) {
         let node = &self.nodes[index];
         let now = node.clock.at(self.now_ms);
         let Some(held) = node.state.held(KIND, now) else { return };
-        let transit_ms = LeaseSettings::default().order_transit_ms * 9 / 10;
-        for (checks_fencing, longest_ms) in [(true, 60_000), (false, transit_ms)] {
+        let order_transit_ms = LeaseSettings::default().order_transit_ms * 9 / 10;
+        for (checks_fencing, max_transit_ms) in [(true, 60_000), (false, order_transit_ms)] {
             if !checks_fencing && now < held.unfenced_orders_allowed_at {
                 continue;
             }
-            let due_ms = self.now_ms + self.random.u64(0..longest_ms);
+            let arrives_at_ms = self.now_ms + self.random.u64(0..max_transit_ms);
             let fencing_number = held.fencing_number;
-            self.orders.push(Order { fencing_number, due_ms, checks_fencing });
+            self.orders.push(Order { fencing_number, arrives_at_ms, checks_fencing });
         }
     }
 
     fn deliver_orders(&mut self) {
         let now_ms = self.now_ms;
         let mut due: Vec<Order> =
-            self.orders.iter().copied().filter(|order| order.due_ms <= now_ms).collect();
-        self.orders.retain(|order| order.due_ms > now_ms);
-        due.sort_by_key(|order| order.due_ms);
+            self.orders.iter().copied().filter(|order| order.arrives_at_ms <= now_ms).collect();
+        self.orders.retain(|order| order.arrives_at_ms > now_ms);
+        due.sort_by_key(|order| order.arrives_at_ms);
         for order in due {
-            if order.checks_fencing && order.fencing_number < self.highest_seen {
+            if order.checks_fencing && order.fencing_number < self.highest_fencing_number {
                 continue;
             }
             if order.checks_fencing {
-                self.highest_seen = order.fencing_number;
+                self.highest_fencing_number = order.fencing_number;
             }
-            self.effective[usize::from(order.checks_fencing)].push(order.fencing_number);
+            self.applied_fencing_numbers[usize::from(order.checks_fencing)]
+                .push(order.fencing_number);
         }
     }
 
-    /// At most one node may use the lease, paused ones included: they may wake at any moment.
+    /// Counts paused nodes as well: they may resume at any moment.
     fn check_holders(&self) {
         let holders = self
             .nodes
@@ -182,8 +185,8 @@
     }
 
     fn check_orders(&self) {
-        for effective in &self.effective {
-            assert!(effective.is_sorted(), "an old holder's order took effect: {effective:?}");
+        for applied in &self.applied_fencing_numbers {
+            assert!(applied.is_sorted(), "an old holder's order took effect: {applied:?}");
         }
     }
 }
@@ -199,7 +202,7 @@
     #![proptest_config(config(51))]
 
     #[test]
-    fn one_holder_and_orders_in_fencing_order(
+    fn at_most_one_holder_and_orders_in_fencing_order(
         seed in any::<u64>(),
         lease_ms in prop_oneof![Just(10_000u64), Just(150_000u64)],
         ops in prop::collection::vec(op(), 1..60),
@@ -209,36 +212,38 @@
             world.run(op);
             world.check_orders();
         }
-        // With the log back, somebody holds the lease again, so the checks above meant something.
+        // Without an outage the lease is acquired and both engines get orders, so the checks above
+        // are not vacuous.
         world.log.down_until_ms = 0;
-        let both_ordered = |world: &World| world.effective.iter().all(|effective| !effective.is_empty());
+        let both_engines_ordered =
+            |world: &World| world.applied_fencing_numbers.iter().all(|applied| !applied.is_empty());
         for _ in 0..4_000 {
-            if both_ordered(&world) {
+            if both_engines_ordered(&world) {
                 break;
             }
             world.step();
         }
         world.check_orders();
-        prop_assert!(world.acquisitions > 0 && both_ordered(&world));
+        prop_assert!(world.acquisitions > 0 && both_engines_ordered(&world));
     }
 }
 
 #[test]
-fn takeover_after_a_crash_waits_for_the_lease() {
+fn takeover_after_a_crash_waits_until_the_lease_lapses() {
     let mut world = World::new(7, 10_000);
     (0..50).for_each(|_| world.step());
-    let first = world
+    let holder_before_crash = world
         .nodes
         .iter()
         .position(|node| node.state.held(KIND, node.clock.at(world.now_ms)).is_some());
-    let first = first.unwrap();
-    let died_at_ms = world.now_ms;
-    world.nodes[first].paused_until_ms = u64::MAX;
+    let holder_before_crash = holder_before_crash.unwrap();
+    let crashed_at_ms = world.now_ms;
+    world.nodes[holder_before_crash].paused_until_ms = u64::MAX;
     while !world.nodes.iter().enumerate().any(|(index, node)| {
-        index != first && node.state.held(KIND, node.clock.at(world.now_ms)).is_some()
+        index != holder_before_crash && node.state.held(KIND, node.clock.at(world.now_ms)).is_some()
     }) {
         world.step();
     }
-    let takeover_ms = world.now_ms - died_at_ms;
+    let takeover_ms = world.now_ms - crashed_at_ms;
     insta::assert_snapshot!(takeover_ms, @"7200");
 }
