--- a/src/decision/membership/members.rs
+++ b/src/decision/membership/members.rs
@@ -1,4 +1,4 @@
-//! Set of known members and the merge of records about them.
+//! Members known to a node and the merge of records about them.
 
 use super::messages::{MemberRecord, MemberStatus};
 use crate::types::InstanceId;
@@ -7,69 +7,71 @@
 use std::time::{Duration, Instant};
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Member with the time at which its status changes by itself.
+/// Record of a member and when its status expires.
 #[derive(Clone, Debug)]
-struct Member {
+struct MemberEntry {
     record: MemberRecord,
-    /// When a suspect counts as dead, or a dead node is forgotten.
-    deadline: Option<Instant>,
+    /// When a suspect is declared dead, or a member that is dead or left is forgotten.
+    expires_at: Option<Instant>,
 }
 
-/// Known members but for the node itself.
+/// Members known to a node, itself excluded.
 #[derive(Clone, Debug)]
 pub struct Members {
-    members: BTreeMap<InstanceId, Member>,
+    members: BTreeMap<InstanceId, MemberEntry>,
     suspicion_timeout: Duration,
-    forget_after: Duration,
-    changes: u64,
+    dead_retention: Duration,
+    change_count: u64,
 }
 
 impl Members {
-    /// Returns an empty set.
-    pub fn new(suspicion_timeout: Duration, forget_after: Duration) -> Self {
-        Self { members: BTreeMap::new(), suspicion_timeout, forget_after, changes: 0 }
+    /// Returns an empty set that declares suspects dead after `suspicion_timeout` and forgets members
+    /// `dead_retention` after they died or left.
+    pub fn new(suspicion_timeout: Duration, dead_retention: Duration) -> Self {
+        Self { members: BTreeMap::new(), suspicion_timeout, dead_retention, change_count: 0 }
     }
 
-    /// Record of a member.
+    /// Returns the record of `instance`, if it is known.
     pub fn get(&self, instance: &InstanceId) -> Option<&MemberRecord> {
         self.members.get(instance).map(|member| &member.record)
     }
 
-    /// All records.
+    /// Returns all records, including those of members that are dead or left.
     pub fn records(&self) -> impl Iterator<Item = &MemberRecord> {
         self.members.values().map(|member| &member.record)
     }
 
-    /// Number of changes so far.
+    /// Returns how often a record was added, replaced or removed.
     pub fn change_count(&self) -> u64 {
-        self.changes
+        self.change_count
     }
 
-    /// Members that are alive or only suspected.
+    /// Returns the members that are alive or suspect.
     pub fn live(&self) -> impl Iterator<Item = &MemberRecord> {
         self.records().filter(|record| record.status <= MemberStatus::Suspect)
     }
 
-    /// Live member that listens on `address`.
-    pub fn live_at(&self, address: SocketAddr) -> Option<&MemberRecord> {
+    /// Returns the live member whose partner listener is at `address`.
+    pub fn live_by_address(&self, address: SocketAddr) -> Option<&MemberRecord> {
         self.live().find(|record| record.address == address)
     }
 
-    /// Merges `record`; returns whether it said anything new.
+    /// Stores `record` unless it is outdated; returns whether it was stored.
     pub fn merge(&mut self, record: &MemberRecord, now: Instant) -> bool {
-        if self.is_known(record) {
+        if self.is_outdated(record) {
             return false;
         }
-        let deadline = self.deadline(record.status, now);
-        let member = Member { record: record.clone(), deadline };
+        let expires_at = self.expiry(record.status, now);
+        let member = MemberEntry { record: record.clone(), expires_at };
         self.members.insert(record.instance.clone(), member);
-        self.changes += 1;
-        self.replace_earlier_runs(record, now);
+        self.change_count += 1;
+        self.declare_earlier_runs_dead(record, now);
         true
     }
 
-    /// Sets the status of a member that is below it; returns the changed record.
-    pub fn raise(
+    /// Raises the status of a member to `status`; returns the changed record, or none if the member
+    /// is unknown or its status is not lower.
+    pub fn raise_status(
         &mut self,
         instance: &InstanceId,
         status: MemberStatus,
@@ -79,60 +81,67 @@
         self.merge(&raised, now).then_some(raised)
     }
 
-    /// Lets suspects die and forgets the dead; returns the records of those that died.
+    /// Declares overdue suspects dead and forgets members that have been dead or left for long
+    /// enough; returns the records of those declared dead.
     pub fn expire(&mut self, now: Instant) -> Vec<MemberRecord> {
-        let is_due = |member: &Member| member.deadline.is_some_and(|deadline| deadline <= now);
-        let due: Vec<MemberRecord> = self
+        let is_expired =
+            |member: &MemberEntry| member.expires_at.is_some_and(|expires_at| expires_at <= now);
+        let expired: Vec<MemberRecord> = self
             .members
             .values()
-            .filter(|member| is_due(member))
+            .filter(|member| is_expired(member))
             .map(|member| member.record.clone())
             .collect();
-        let mut died = Vec::new();
-        for record in due {
+        let mut declared_dead = Vec::new();
+        for record in expired {
             match record.status {
                 MemberStatus::Suspect => {
-                    died.extend(self.raise(&record.instance, MemberStatus::Dead, now));
+                    declared_dead.extend(self.raise_status(
+                        &record.instance,
+                        MemberStatus::Dead,
+                        now,
+                    ));
                 }
                 MemberStatus::Alive | MemberStatus::Dead | MemberStatus::Left => {
                     self.members.remove(&record.instance);
-                    self.changes += 1;
+                    self.change_count += 1;
                 }
             }
         }
-        died
+        declared_dead
     }
 
-    /// Digest of the live members and `me`; equal sets have equal digests.
-    pub fn digest(&self, me: &MemberRecord) -> u64 {
+    /// Returns a digest of the live members and `local`; equal sets have equal digests.
+    pub fn digest(&self, local: &MemberRecord) -> u64 {
         self.live()
-            .chain([me])
+            .chain([local])
             .map(|record| xxh3_64(record.instance.as_bytes()).wrapping_mul(record.version + 1))
             .fold(0, u64::wrapping_add)
     }
 
-    fn is_known(&self, record: &MemberRecord) -> bool {
-        let Some(known) = self.get(&record.instance) else {
+    /// Whether `record` is superseded by one of the set or is about an unknown run that has ended.
+    fn is_outdated(&self, record: &MemberRecord) -> bool {
+        let Some(current) = self.get(&record.instance) else {
             let newer_run = |other: &MemberRecord| {
                 other.address == record.address && run_order(other) > run_order(record)
             };
             return record.status >= MemberStatus::Dead || self.live().any(newer_run);
         };
-        known.status == MemberStatus::Left
+        current.status == MemberStatus::Left
             || record.status != MemberStatus::Left
-                && (known.version, known.status) >= (record.version, record.status)
+                && (current.version, current.status) >= (record.version, record.status)
     }
 
-    fn deadline(&self, status: MemberStatus, now: Instant) -> Option<Instant> {
+    fn expiry(&self, status: MemberStatus, now: Instant) -> Option<Instant> {
         match status {
             MemberStatus::Alive => None,
             MemberStatus::Suspect => Some(now + self.suspicion_timeout),
-            MemberStatus::Dead | MemberStatus::Left => Some(now + self.forget_after),
+            MemberStatus::Dead | MemberStatus::Left => Some(now + self.dead_retention),
         }
     }
 
-    /// Marks earlier runs at the address of `record` as dead.
-    fn replace_earlier_runs(&mut self, record: &MemberRecord, now: Instant) {
+    /// Declares earlier runs at the address of `record` dead.
+    fn declare_earlier_runs_dead(&mut self, record: &MemberRecord, now: Instant) {
         let earlier: Vec<InstanceId> = self
             .live()
             .filter(|other| other.address == record.address)
@@ -140,12 +149,12 @@
             .map(|other| other.instance.clone())
             .collect();
         for instance in earlier {
-            self.raise(&instance, MemberStatus::Dead, now);
+            self.raise_status(&instance, MemberStatus::Dead, now);
         }
     }
 }
 
-/// Order of runs at one address.
+/// Order of the runs at one address: by start time, then by instance id.
 #[derive(Eq, Ord, PartialEq, PartialOrd)]
 struct RunOrder<'a> {
     started_unix_ms: u64,
--- a/src/decision/membership/messages.rs
+++ b/src/decision/membership/messages.rs
@@ -1,11 +1,11 @@
-//! Messages of membership.
+//! Records, events and commands of the membership protocol.
 
 use crate::types::{AvailabilityZone, InstanceId};
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 use strum::{Display, IntoStaticStr};
 
-/// Status of a member; of two records of the same version, the later status here holds.
+/// Status of a member. Of two records with the same version, the later variant wins.
 #[derive(
     Clone,
     Copy,
@@ -25,30 +25,30 @@
 pub enum MemberStatus {
     /// In service.
     Alive,
-    /// A partner cannot reach it.
+    /// A partner could not reach it.
     Suspect,
-    /// It did not refute the suspicion in time.
+    /// It did not refute the suspicion in time, or a later run replaced it.
     Dead,
-    /// It stopped gracefully; this is final for the run.
+    /// It stopped gracefully; final for the run, whatever the version.
     Left,
 }
 
-/// What is known about a run of a node.
+/// Record about one run (process lifetime) of a node, exchanged between partners.
 #[derive(Clone, Debug, Eq, Hash, PartialEq, Deserialize, Serialize)]
 pub struct MemberRecord {
-    /// Run of the node.
+    /// Instance id of the run.
     #[serde(rename = "i")]
     pub instance: InstanceId,
-    /// Partner listener.
+    /// Address of the partner listener.
     #[serde(rename = "a")]
     pub address: SocketAddr,
     /// Availability zone.
     #[serde(rename = "z")]
     pub availability_zone: AvailabilityZone,
-    /// Start of the run by its own clock; orders runs at the same address.
+    /// Start of the run in Unix milliseconds by the node's own clock; orders runs at one address.
     #[serde(rename = "t")]
     pub started_unix_ms: u64,
-    /// Raised by the member alone, to refute a suspicion.
+    /// Version, raised only by the member itself to refute a suspicion.
     #[serde(rename = "v")]
     pub version: u64,
     /// Status.
@@ -56,55 +56,55 @@
     pub status: MemberStatus,
 }
 
-/// Event that changes the membership.
+/// Event for [`MembershipState`](super::MembershipState).
 #[derive(Clone, Debug)]
 pub enum MembershipEvent {
-    /// Partner listeners of the live entry instances on the platform's list.
+    /// Partner listeners of the live entry instances on the platform's instance list.
     SeedAddresses(Vec<SocketAddr>),
-    /// A link was opened and its peer authenticated.
+    /// A link to an authenticated peer was opened.
     LinkOpened {
-        /// Record that the peer gave of itself.
+        /// The peer's record of itself.
         peer: MemberRecord,
-        /// Whether this node dialed.
+        /// Whether this node dialed the peer.
         dialed: bool,
     },
-    /// The link to a peer closed.
+    /// The link to a peer was closed.
     LinkClosed {
         /// Peer.
         peer: InstanceId,
-        /// Whether the peer closed it in good order.
+        /// Whether it was closed gracefully rather than broken.
         graceful: bool,
     },
     /// A dial failed.
     DialFailed(SocketAddr),
-    /// A peer sent any message.
+    /// A message of any kind was received from a peer.
     MessageReceived(InstanceId),
-    /// A peer sent a ping with a digest of its member set.
+    /// A ping was received from a peer.
     Ping {
         /// Peer.
         peer: InstanceId,
-        /// Digest.
+        /// Digest of the member set.
         digest: u64,
     },
-    /// A peer sent member records.
+    /// Member records were received from a peer.
     Records {
         /// Peer.
         peer: InstanceId,
         /// Records.
         records: Vec<MemberRecord>,
     },
-    /// Time passed.
+    /// Timer tick.
     Tick,
-    /// The node stops gracefully.
+    /// This node is stopping gracefully.
     Leave,
 }
 
-/// Command of membership.
+/// Command issued by [`MembershipState`](super::MembershipState).
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum MembershipCommand {
-    /// Open a link.
+    /// Open a link to the partner listener at this address.
     Dial(SocketAddr),
-    /// Close the link to a peer in good order.
+    /// Close the link to a peer gracefully.
     Close(InstanceId),
     /// Send member records to a peer.
     SendRecords {
@@ -113,11 +113,11 @@
         /// Records.
         records: Vec<MemberRecord>,
     },
-    /// Send a ping with a digest of the member set to a peer.
+    /// Send a ping to a peer.
     SendPing {
         /// Peer.
         to: InstanceId,
-        /// Digest.
+        /// Digest of the member set.
         digest: u64,
     },
 }
--- a/src/decision/membership/mod.rs
+++ b/src/decision/membership/mod.rs
@@ -1,7 +1,7 @@
-//! Membership of nodes: partners to link to, a failure detector, and the number of live nodes.
+//! Membership protocol: selection of partners, failure detection, and the number of live nodes.
 //!
-//! Changes are flooded over the links; nothing is sent for members that do not change. Membership
-//! steers efficiency only: no safety property depends on it.
+//! Changed records are flooded over the links; unchanged ones are not sent again. Membership affects
+//! efficiency only: no safety property depends on it.
 
 pub mod members;
 pub mod messages;
@@ -20,7 +20,7 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-/// Membership as one node sees it.
+/// Membership protocol state of one node.
 #[derive(Clone, Debug)]
 pub struct MembershipState {
     settings: MembershipSettings,
@@ -28,37 +28,42 @@
     members: Members,
     links: BTreeMap<InstanceId, Link>,
     backoffs: BTreeMap<SocketAddr, DialBackoff>,
-    listed: Vec<SocketAddr>,
-    /// Position in `listed` at which the next dial of a seed starts.
+    seeds: Vec<SocketAddr>,
+    /// Index in `seeds` of the next address to consider for a dial.
     next_seed: usize,
     next_ping_at: Option<Instant>,
 }
 
+/// Open link to a peer.
 #[derive(Clone, Debug)]
 struct Link {
+    /// Whether this node dialed the peer.
     dialed: bool,
-    silent_at: Instant,
-    /// When the link is closed, while this node dialed it and no longer wants it.
-    unwanted_at: Option<Instant>,
-    differing_pings: u32,
+    /// When the link is closed unless another message is received.
+    receive_deadline: Instant,
+    /// When the link is closed as surplus; set while this node dialed it but the peer is neither a
+    /// selected partner nor the tree parent.
+    surplus_close_at: Option<Instant>,
+    /// Consecutive pings whose digest differed from that of this node.
+    digest_mismatches: u32,
 }
 
-/// Wait before an address is dialed again.
+/// Delay before an address is dialed again.
 #[derive(Clone, Copy, Debug)]
 struct DialBackoff {
     next_dial_at: Instant,
-    /// Dials since the last link to the address.
+    /// Dials since a link to the address was last opened.
     dials: u32,
 }
 
-/// Doublings of the wait between dials of one address at most.
-const BACKOFF_DOUBLINGS: u32 = 3;
+/// Maximum number of doublings of the delay between dials of one address.
+const MAX_BACKOFF_DOUBLINGS: u32 = 3;
 
-/// Time after which the backoff of an address that is no longer dialed is dropped.
-const BACKOFF_LIFETIME: Duration = Duration::from_secs(60);
+/// Time after which the backoff of an address that is no longer dialed is discarded.
+const BACKOFF_RETENTION: Duration = Duration::from_secs(60);
 
 impl MembershipState {
-    /// Returns the state of a node that has just started.
+    /// Returns the state of a newly started node.
     pub fn new(local: MemberRecord, settings: MembershipSettings) -> Self {
         let members = Members::new(
             Duration::from_millis(settings.suspicion_timeout_ms),
@@ -70,18 +75,18 @@
             members,
             links: BTreeMap::new(),
             backoffs: BTreeMap::new(),
-            listed: Vec::new(),
+            seeds: Vec::new(),
             next_seed: 0,
             next_ping_at: None,
         }
     }
 
-    /// Applies `event` and returns what to do.
+    /// Applies `event` and returns the resulting commands.
     pub fn apply(&mut self, event: MembershipEvent, now: Instant) -> Vec<MembershipCommand> {
         let mut commands = Vec::new();
         match event {
             MembershipEvent::SeedAddresses(addresses) => {
-                self.listed = addresses;
+                self.seeds = addresses;
                 if self.links.is_empty() {
                     self.dial_seeds(now, &mut commands);
                 }
@@ -92,8 +97,8 @@
             MembershipEvent::LinkClosed { peer, graceful } => {
                 self.close_link(&peer, graceful, now, &mut commands);
             }
-            MembershipEvent::DialFailed(address) => self.fail_dial(address, now, &mut commands),
-            MembershipEvent::MessageReceived(peer) => self.hear(&peer, now),
+            MembershipEvent::DialFailed(address) => self.mark_suspect(address, now, &mut commands),
+            MembershipEvent::MessageReceived(peer) => self.extend_receive_deadline(&peer, now),
             MembershipEvent::Ping { peer, digest } => {
                 self.compare_digest(&peer, digest, &mut commands);
             }
@@ -106,39 +111,39 @@
         commands
     }
 
-    /// Record of this node.
+    /// Returns the record of this node.
     pub fn local_record(&self) -> &MemberRecord {
         &self.local
     }
 
-    /// Digest of the live members; equal sets have equal digests.
+    /// Returns a digest of the live members, this node included; equal sets have equal digests.
     pub fn digest(&self) -> u64 {
         self.members.digest(&self.local)
     }
 
-    /// Estimate of the number of live nodes, this one included; the platform's list stands in while
+    /// Returns an estimate of the number of live nodes, this one included; the number of seeds while
     /// no link is open.
     pub fn live_nodes(&self) -> u32 {
         let count = if self.links.is_empty() {
-            self.listed.len().max(1)
+            self.seeds.len().max(1)
         } else {
             self.members.live().count() + 1
         };
         u32::try_from(count).unwrap_or(u32::MAX)
     }
 
-    /// Live members but for this node.
+    /// Returns the members that are alive or suspect, this node excluded.
     pub fn live_members(&self) -> impl Iterator<Item = &MemberRecord> {
         self.members.live()
     }
 
-    /// Whether the nodes are too many for links between all of them.
+    /// Whether there are too many live nodes for a link between every two of them.
     pub fn exceeds_full_mesh(&self) -> bool {
         self.members.live().count() >= self.settings.max_full_mesh_nodes
     }
 
-    /// Place of this node in the tree over all live nodes; all others are its children while every
-    /// node has a link to every other.
+    /// Returns the place of this node in the tree over all nodes, suspects excluded. In a full mesh
+    /// all live members are its children.
     pub fn tree_place(&self) -> TreePlace {
         if !self.exceeds_full_mesh() {
             let children = self.members.live().map(|member| member.instance.clone()).collect();
@@ -149,12 +154,12 @@
         tree_place(&self.local, &others)
     }
 
-    /// Number of changes of the members so far.
+    /// Returns how often a member record was added, replaced or removed.
     pub fn change_count(&self) -> u64 {
         self.members.change_count()
     }
 
-    /// Peers with an open link.
+    /// Returns the peers with an open link.
     pub fn linked_peers(&self) -> impl Iterator<Item = &InstanceId> {
         self.links.keys()
     }
@@ -168,22 +173,23 @@
     ) {
         let link = Link {
             dialed,
-            silent_at: now + Duration::from_millis(self.settings.receive_timeout_ms),
-            unwanted_at: None,
-            differing_pings: 0,
+            receive_deadline: now + Duration::from_millis(self.settings.receive_timeout_ms),
+            surplus_close_at: None,
+            digest_mismatches: 0,
         };
         self.links.insert(peer.instance.clone(), link);
         self.backoffs.remove(&peer.address);
         self.merge_records(Some(&peer.instance), std::slice::from_ref(peer), now, commands);
-        commands.push(self.all_records(&peer.instance));
+        commands.push(self.full_sync(&peer.instance));
     }
 
-    fn all_records(&self, to: &InstanceId) -> MembershipCommand {
+    fn full_sync(&self, to: &InstanceId) -> MembershipCommand {
         let records = self.members.records().chain([&self.local]).cloned().collect();
         MembershipCommand::SendRecords { to: to.clone(), records }
     }
 
-    /// A link that broke is dialed again at once; the failure of that dial raises a suspicion.
+    /// Removes a closed link. The peer of a broken one is dialed again at once; if that dial fails,
+    /// the peer becomes a suspect.
     fn close_link(
         &mut self,
         peer: &InstanceId,
@@ -202,7 +208,7 @@
 
     fn dial(&mut self, address: SocketAddr, now: Instant, commands: &mut Vec<MembershipCommand>) {
         let dials = self.backoffs.get(&address).map_or(0, |backoff| backoff.dials);
-        let wait_ms = self.settings.redial_delay_ms << dials.min(BACKOFF_DOUBLINGS);
+        let wait_ms = self.settings.redial_delay_ms << dials.min(MAX_BACKOFF_DOUBLINGS);
         let next_dial_at = now + Duration::from_millis(wait_ms);
         self.backoffs.insert(address, DialBackoff { next_dial_at, dials: dials + 1 });
         commands.push(MembershipCommand::Dial(address));
@@ -212,46 +218,48 @@
         self.backoffs.get(&address).is_none_or(|backoff| backoff.next_dial_at <= now)
     }
 
-    fn fail_dial(
+    fn mark_suspect(
         &mut self,
         address: SocketAddr,
         now: Instant,
         commands: &mut Vec<MembershipCommand>,
     ) {
-        let Some(member) = self.members.live_at(address) else { return };
+        let Some(member) = self.members.live_by_address(address) else { return };
         let instance = member.instance.clone();
         if self.links.contains_key(&instance) {
             return;
         }
-        if let Some(record) = self.members.raise(&instance, MemberStatus::Suspect, now) {
+        if let Some(record) = self.members.raise_status(&instance, MemberStatus::Suspect, now) {
             self.flood(None, &[record], commands);
         }
     }
 
-    fn hear(&mut self, peer: &InstanceId, now: Instant) {
+    fn extend_receive_deadline(&mut self, peer: &InstanceId, now: Instant) {
         if let Some(link) = self.links.get_mut(peer) {
-            link.silent_at = now + Duration::from_millis(self.settings.receive_timeout_ms);
+            link.receive_deadline = now + Duration::from_millis(self.settings.receive_timeout_ms);
         }
     }
 
-    /// Sends the whole member set to a peer whose set has differed for a while.
+    /// Sends all records to a peer whose digest has differed in several consecutive pings.
     fn compare_digest(
         &mut self,
         peer: &InstanceId,
         digest: u64,
         commands: &mut Vec<MembershipCommand>,
     ) {
-        let own_digest = self.digest();
+        let local_digest = self.digest();
         let limit = self.settings.resync_after_mismatches;
         let Some(link) = self.links.get_mut(peer) else { return };
-        link.differing_pings = if digest == own_digest { 0 } else { link.differing_pings + 1 };
-        if link.differing_pings >= limit {
-            link.differing_pings = 0;
-            commands.push(self.all_records(peer));
+        link.digest_mismatches =
+            if digest == local_digest { 0 } else { link.digest_mismatches + 1 };
+        if link.digest_mismatches >= limit {
+            link.digest_mismatches = 0;
+            commands.push(self.full_sync(peer));
         }
     }
 
-    /// Merges records and floods what is new; a record that doubts this node is refuted.
+    /// Merges records and floods the changed ones, except to `source`; refutes a suspicion of this
+    /// node.
     fn merge_records(
         &mut self,
         source: Option<&InstanceId>,
@@ -259,26 +267,26 @@
         now: Instant,
         commands: &mut Vec<MembershipCommand>,
     ) {
-        let mut news = Vec::new();
+        let mut updates = Vec::new();
         for record in records {
             if record.instance == self.local.instance {
                 self.refute(record, commands);
             } else if record.address == self.local.address && record.status < MemberStatus::Dead {
-                // An earlier run of this node.
+                // Declare an earlier run of this node dead.
                 let dead = MemberRecord { status: MemberStatus::Dead, ..record.clone() };
                 self.flood(None, &[dead], commands);
             } else if self.members.merge(record, now) {
-                news.push(record.clone());
+                updates.push(record.clone());
             }
         }
-        self.flood(source, &news, commands);
+        self.flood(source, &updates, commands);
     }
 
-    /// Raises the own version above that of a record that doubts this node.
+    /// Raises the version of this node above that of a record that reports it as suspect or dead.
     fn refute(&mut self, record: &MemberRecord, commands: &mut Vec<MembershipCommand>) {
-        let doubts = matches!(record.status, MemberStatus::Suspect | MemberStatus::Dead);
+        let is_suspicion = matches!(record.status, MemberStatus::Suspect | MemberStatus::Dead);
         let is_alive = self.local.status == MemberStatus::Alive;
-        if doubts && is_alive && record.version >= self.local.version {
+        if is_suspicion && is_alive && record.version >= self.local.version {
             self.local.version = record.version + 1;
             self.flood(None, std::slice::from_ref(&self.local), commands);
         }
@@ -303,47 +311,47 @@
         if self.local.status == MemberStatus::Left {
             return;
         }
-        let died = self.members.expire(now);
-        self.flood(None, &died, commands);
-        self.close_silent_links(now, commands);
+        let declared_dead = self.members.expire(now);
+        self.flood(None, &declared_dead, commands);
+        self.close_timed_out_links(now, commands);
         if self.next_ping_at.is_none_or(|next_ping_at| next_ping_at <= now) {
             self.next_ping_at = Some(now + Duration::from_millis(self.settings.ping_period_ms));
-            self.ping(commands);
-            self.tend_partners(now, commands);
+            self.send_pings(commands);
+            self.update_links(now, commands);
             self.dial_seeds(now, commands);
-            self.backoffs.retain(|_, backoff| backoff.next_dial_at + BACKOFF_LIFETIME > now);
+            self.backoffs.retain(|_, backoff| backoff.next_dial_at + BACKOFF_RETENTION > now);
         }
     }
 
-    fn ping(&self, commands: &mut Vec<MembershipCommand>) {
+    fn send_pings(&self, commands: &mut Vec<MembershipCommand>) {
         let digest = self.digest();
         let pings = self.links.keys().cloned();
         commands.extend(pings.map(|to| MembershipCommand::SendPing { to, digest }));
     }
 
-    fn close_silent_links(&mut self, now: Instant, commands: &mut Vec<MembershipCommand>) {
-        let is_silent = |link: &Link| link.silent_at <= now;
-        let silent: Vec<InstanceId> = self
+    fn close_timed_out_links(&mut self, now: Instant, commands: &mut Vec<MembershipCommand>) {
+        let is_timed_out = |link: &Link| link.receive_deadline <= now;
+        let timed_out: Vec<InstanceId> = self
             .links
             .iter()
-            .filter(|(_, link)| is_silent(link))
+            .filter(|(_, link)| is_timed_out(link))
             .map(|(peer, _)| peer.clone())
             .collect();
-        for peer in silent {
+        for peer in timed_out {
             commands.push(MembershipCommand::Close(peer.clone()));
             self.close_link(&peer, false, now, commands);
         }
     }
 
-    /// Dials partners without a link and closes links that this node dialed and no longer wants.
-    fn tend_partners(&mut self, now: Instant, commands: &mut Vec<MembershipCommand>) {
+    /// Dials selected partners and the tree parent where there is no link, and closes surplus links.
+    fn update_links(&mut self, now: Instant, commands: &mut Vec<MembershipCommand>) {
         let live: Vec<&MemberRecord> = self.members.live().collect();
         let MembershipSettings { max_full_mesh_nodes, partial_mesh_partners, .. } = self.settings;
         let partners =
             choose_partners(&self.local, &live, max_full_mesh_nodes, partial_mesh_partners);
         let parent = self.tree_place().parent;
         let is_parent = |member: &&&MemberRecord| parent.as_ref() == Some(&member.instance);
-        let wanted: BTreeSet<InstanceId> =
+        let needed_peers: BTreeSet<InstanceId> =
             partners.iter().map(|partner| partner.instance.clone()).chain(parent.clone()).collect();
         let missing: Vec<SocketAddr> = partners
             .iter()
@@ -355,21 +363,22 @@
         for address in missing {
             self.dial(address, now, commands);
         }
-        self.close_unwanted(&wanted, now, commands);
+        self.close_surplus_links(&needed_peers, now, commands);
     }
 
-    fn close_unwanted(
+    /// Closes links that this node dialed and that have been surplus for the grace period.
+    fn close_surplus_links(
         &mut self,
-        wanted: &BTreeSet<InstanceId>,
+        needed_peers: &BTreeSet<InstanceId>,
         now: Instant,
         commands: &mut Vec<MembershipCommand>,
     ) {
         let close_at = now + Duration::from_millis(self.settings.surplus_link_grace_ms);
         let mut closed = Vec::new();
         for (peer, link) in &mut self.links {
-            if !link.dialed || wanted.contains(peer) {
-                link.unwanted_at = None;
-            } else if *link.unwanted_at.get_or_insert(close_at) <= now {
+            if !link.dialed || needed_peers.contains(peer) {
+                link.surplus_close_at = None;
+            } else if *link.surplus_close_at.get_or_insert(close_at) <= now {
                 closed.push(peer.clone());
             }
         }
@@ -379,13 +388,14 @@
         }
     }
 
-    /// Dials listed addresses at which no live node is known, a few at a time.
+    /// Dials seed addresses at which no live member is known, a few per call.
     fn dial_seeds(&mut self, now: Instant, commands: &mut Vec<MembershipCommand>) {
         let mut dials = 0;
-        for _ in 0..self.listed.len() {
-            let address = self.listed[self.next_seed % self.listed.len()];
-            self.next_seed = (self.next_seed + 1) % self.listed.len();
-            let is_known = address == self.local.address || self.members.live_at(address).is_some();
+        for _ in 0..self.seeds.len() {
+            let address = self.seeds[self.next_seed % self.seeds.len()];
+            self.next_seed = (self.next_seed + 1) % self.seeds.len();
+            let is_known =
+                address == self.local.address || self.members.live_by_address(address).is_some();
             if is_known || !self.may_dial(address, now) {
                 continue;
             }
--- a/src/decision/membership/settings.rs
+++ b/src/decision/membership/settings.rs
@@ -1,27 +1,27 @@
-//! Settings of membership.
+//! Settings of the membership protocol.
 
-/// Settings of membership.
+/// Settings of the membership protocol.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct MembershipSettings {
-    /// Largest number of live nodes at which every node links to every other.
+    /// Number of live nodes up to which every node links to every other.
     pub max_full_mesh_nodes: usize,
-    /// Partners that a node dials beyond that number.
+    /// Number of partners that a node dials when there are more live nodes than that.
     pub partial_mesh_partners: usize,
     /// Milliseconds between pings on a link.
     pub ping_period_ms: u64,
-    /// Milliseconds without a message after which a link is closed.
+    /// Milliseconds without a received message after which a link is closed.
     pub receive_timeout_ms: u64,
-    /// Milliseconds after which a suspect counts as dead.
+    /// Milliseconds after which a suspect is declared dead.
     pub suspicion_timeout_ms: u64,
-    /// Milliseconds for which a dead node is remembered.
+    /// Milliseconds for which the record of a member that is dead or left is kept.
     pub dead_retention_ms: u64,
-    /// Milliseconds before a failed dial is repeated.
+    /// Milliseconds before an address is dialed again; doubled with each further dial, up to a limit.
     pub redial_delay_ms: u64,
-    /// Milliseconds for which an unwanted link is kept.
+    /// Milliseconds for which a link that is no longer needed stays open.
     pub surplus_link_grace_ms: u64,
-    /// Pings with another digest after which the whole member set is sent.
+    /// Consecutive pings with a differing digest after which the whole member set is sent.
     pub resync_after_mismatches: u32,
-    /// Seed addresses without a known node that are dialed in each ping period.
+    /// Maximum number of seed addresses dialed per ping period.
     pub seed_dials_per_period: usize,
 }
 
