--- a/tests/together/membership.rs
+++ b/tests/together/membership.rs
@@ -1,4 +1,4 @@
-//! Membership on a small virtual network, against what really runs.
+//! The membership views of nodes on a virtual network converge to the nodes that are running.
 
 use crate::network::{Network, pair};
 use crate::proptest_config;
@@ -44,27 +44,27 @@
                 }
                 Fault::Heal => {
                     network.groups = vec![0; NODES];
-                    network.cut.clear();
+                    network.cut_pairs.clear();
                 }
                 Fault::Cut(a, b) => {
-                    network.cut.insert(pair(a, b));
+                    network.cut_pairs.insert(pair(a, b));
                 }
                 Fault::Wait(ms) => network.advance(ms),
             }
         }
         network.groups = vec![0; NODES];
-        network.cut.clear();
+        network.cut_pairs.clear();
         network.advance(60_000);
         network.assert_converged();
     }
 }
 
 #[test]
-fn a_cut_between_two_nodes_makes_nobody_dead() {
+fn a_cut_link_between_two_nodes_declares_no_node_dead() {
     let mut network = Network::new(5);
     network.advance(5_000);
     network.assert_converged();
-    network.cut.insert(pair(0, 1));
+    network.cut_pairs.insert(pair(0, 1));
     for _ in 0..300 {
         network.advance(100);
         network.assert_converged();
@@ -72,7 +72,7 @@
 }
 
 #[test]
-fn a_killed_node_is_noticed_within_six_seconds() {
+fn a_killed_node_is_detected_within_six_seconds() {
     let mut network = Network::new(6);
     network.advance(5_000);
     network.kill(3);
@@ -81,9 +81,9 @@
 }
 
 #[test]
-fn a_node_that_leaves_is_gone_at_once() {
+fn a_leaving_node_is_removed_at_once() {
     let mut network = Network::new(4);
-    // Just after pings, so that no node is dialed before it has been told.
+    // Leave just after the pings, so that no other node dials it before it receives the record.
     network.advance(5_300);
     network.leave(2);
     network.advance(500);
@@ -92,7 +92,7 @@
 }
 
 #[test]
-fn a_herd_of_restarts_converges_within_three_seconds() {
+fn simultaneous_restarts_converge_within_three_seconds() {
     let mut network = Network::new(8);
     network.advance(5_000);
     for node in 0..8 {
@@ -103,15 +103,15 @@
 }
 
 #[test]
-fn links_are_bounded_on_many_nodes_and_a_dead_zone_is_noticed() {
+fn links_are_bounded_on_many_nodes_and_a_killed_zone_is_detected() {
     let mut network = Network::new(36);
     network.advance(60_000);
     network.assert_converged();
-    let most = (0..36).map(|node| network.linked(node).len()).max();
-    assert!(most <= Some(14), "{most:?} links at one node");
+    let max_links = (0..36).map(|node| network.linked_nodes(node).len()).max();
+    assert!(max_links <= Some(14), "{max_links:?} links at one node");
     let sent_records = network.sent_records;
     network.advance(60_000);
-    assert_eq!(network.sent_records, sent_records, "nothing is sent while nothing changes");
+    assert_eq!(network.sent_records, sent_records, "records were sent although none changed");
     for node in (0..36).step_by(3) {
         network.kill(node);
     }
@@ -120,7 +120,7 @@
 }
 
 #[test]
-fn without_links_the_list_gives_the_number_of_nodes() {
+fn without_links_the_number_of_nodes_is_that_of_the_seeds() {
     let mut network = Network::new(3);
     network.groups = vec![0, 1, 2];
     network.advance(10_000);
--- a/tests/together/network.rs
+++ b/tests/together/network.rs
@@ -1,4 +1,4 @@
-//! Small virtual network of membership states: links, delays, partitions, deaths and restarts.
+//! Virtual network of membership states with links, delays, partitions, kills and restarts.
 
 use coriandertide::decision::membership::{
     MemberRecord, MemberStatus, MembershipCommand, MembershipEvent, MembershipSettings,
@@ -10,8 +10,8 @@
 use std::time::{Duration, Instant};
 
 const STEP_MS: u64 = 100;
-const DELAY_MS: u64 = 20;
-const REFUSED_MS: u64 = 10;
+const MESSAGE_DELAY_MS: u64 = 20;
+const REFUSAL_DELAY_MS: u64 = 10;
 const DIAL_TIMEOUT_MS: u64 = 2_000;
 
 pub struct Network {
@@ -19,28 +19,31 @@
     pub now_ms: u64,
     /// Running node at each address.
     pub nodes: Vec<Option<MembershipState>>,
+    /// Partition group of each node; nodes of different groups cannot reach each other.
     pub groups: Vec<u8>,
-    /// Pairs that cannot talk, lower index first.
-    pub cut: BTreeSet<Pair>,
+    /// Pairs that cannot reach each other.
+    pub cut_pairs: BTreeSet<Pair>,
     links: BTreeSet<Pair>,
-    queue: BTreeMap<Due, Delivery>,
-    next_delivery: u64,
-    runs: u64,
+    deliveries: BTreeMap<DeliveryKey, Delivery>,
+    next_number: u64,
+    started_runs: u64,
     pub sent_records: usize,
 }
 
+/// Pair of nodes, lower index first.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub struct Pair(pub usize, pub usize);
 
 #[derive(Clone, Copy, Eq, Ord, PartialEq, PartialOrd)]
-struct Due {
+struct DeliveryKey {
     at_ms: u64,
+    /// Order of deliveries due at the same time.
     number: u64,
 }
 
 struct Delivery {
     to: usize,
-    /// Run that the event is meant for.
+    /// Run that the event is meant for; dropped if another one is running.
     run: InstanceId,
     event: MembershipEvent,
 }
@@ -52,11 +55,11 @@
             now_ms: 0,
             nodes: Vec::new(),
             groups: vec![0; nodes],
-            cut: BTreeSet::new(),
+            cut_pairs: BTreeSet::new(),
             links: BTreeSet::new(),
-            queue: BTreeMap::new(),
-            next_delivery: 0,
-            runs: 0,
+            deliveries: BTreeMap::new(),
+            next_number: 0,
+            started_runs: 0,
             sent_records: 0,
         };
         network.nodes.resize_with(nodes, || None);
@@ -68,9 +71,9 @@
 
     pub fn start_node(&mut self, index: usize) {
         self.kill(index);
-        self.runs += 1;
+        self.started_runs += 1;
         let record = MemberRecord {
-            instance: format!("entry-{index}-{}", self.runs).into(),
+            instance: format!("entry-{index}-{}", self.started_runs).into(),
             address: address(index),
             availability_zone: format!("zone-{}", index % 3).into(),
             started_unix_ms: 1_000_000 + self.now_ms,
@@ -78,8 +81,8 @@
             status: MemberStatus::Alive,
         };
         self.nodes[index] = Some(MembershipState::new(record, MembershipSettings::default()));
-        let listed = (0..self.nodes.len()).map(address).collect();
-        self.apply(index, MembershipEvent::SeedAddresses(listed));
+        let seeds = (0..self.nodes.len()).map(address).collect();
+        self.apply(index, MembershipEvent::SeedAddresses(seeds));
     }
 
     pub fn kill(&mut self, index: usize) {
@@ -88,13 +91,13 @@
             peer: killed.local_record().instance.clone(),
             graceful: false,
         };
-        for peer in self.linked(index) {
+        for peer in self.linked_nodes(index) {
             self.links.remove(&pair(index, peer));
-            self.send(peer, REFUSED_MS, peer_event.clone());
+            self.send(peer, REFUSAL_DELAY_MS, peer_event.clone());
         }
     }
 
-    pub fn linked(&self, index: usize) -> Vec<usize> {
+    pub fn linked_nodes(&self, index: usize) -> Vec<usize> {
         (0..self.nodes.len()).filter(|other| self.links.contains(&pair(index, *other))).collect()
     }
 
@@ -102,7 +105,7 @@
         let end_ms = self.now_ms + ms;
         while self.now_ms < end_ms {
             self.now_ms += STEP_MS;
-            while let Some(entry) = self.queue.first_entry() {
+            while let Some(entry) = self.deliveries.first_entry() {
                 if entry.key().at_ms > self.now_ms {
                     break;
                 }
@@ -117,7 +120,7 @@
         }
     }
 
-    /// Asserts that every running node sees just the running nodes.
+    /// Asserts that the live members seen by each running node are exactly the running nodes.
     pub fn assert_converged(&self) {
         let running: BTreeSet<&InstanceId> =
             self.nodes.iter().flatten().map(|node| &node.local_record().instance).collect();
@@ -127,7 +130,7 @@
                 node.live_members().map(|member| &member.instance).chain([me]).collect();
             assert_eq!(seen, running, "view of {me} at {} ms", self.now_ms);
             let expected = if running.len() == 1 { self.nodes.len() } else { running.len() };
-            assert_eq!(node.live_nodes() as usize, expected, "a lone node counts by the list");
+            assert_eq!(node.live_nodes() as usize, expected, "a node without links counts seeds");
         }
     }
 
@@ -139,15 +142,15 @@
         (0..self.nodes.len()).find(|index| self.instance(*index) == Some(instance))
     }
 
-    fn can_talk(&self, a: usize, b: usize) -> bool {
-        self.groups[a] == self.groups[b] && !self.cut.contains(&pair(a, b))
+    fn can_reach(&self, a: usize, b: usize) -> bool {
+        self.groups[a] == self.groups[b] && !self.cut_pairs.contains(&pair(a, b))
     }
 
     fn send(&mut self, to: usize, delay_ms: u64, event: MembershipEvent) {
         let Some(run) = self.instance(to).cloned() else { return };
-        self.next_delivery += 1;
-        let due = Due { at_ms: self.now_ms + delay_ms, number: self.next_delivery };
-        self.queue.insert(due, Delivery { to, run, event });
+        self.next_number += 1;
+        let key = DeliveryKey { at_ms: self.now_ms + delay_ms, number: self.next_number };
+        self.deliveries.insert(key, Delivery { to, run, event });
     }
 
     pub fn apply(&mut self, index: usize, event: MembershipEvent) {
@@ -172,32 +175,36 @@
 
     fn transmit(&mut self, from: usize, to: &InstanceId, event: MembershipEvent) {
         let Some(to) = self.index_of(to) else { return };
-        if self.links.contains(&pair(from, to)) && self.can_talk(from, to) {
-            let peer = self.instance(from).cloned().expect("the sender runs");
-            self.send(to, DELAY_MS, MembershipEvent::MessageReceived(peer));
-            self.send(to, DELAY_MS, event);
+        if self.links.contains(&pair(from, to)) && self.can_reach(from, to) {
+            let peer = self.instance(from).cloned().expect("the sender is running");
+            self.send(to, MESSAGE_DELAY_MS, MembershipEvent::MessageReceived(peer));
+            self.send(to, MESSAGE_DELAY_MS, event);
         }
     }
 
     fn dial(&mut self, from: usize, to: SocketAddr) {
         let index = usize::from(to.port()) - 1;
-        if !self.can_talk(from, index) {
+        if !self.can_reach(from, index) {
             self.send(from, DIAL_TIMEOUT_MS, MembershipEvent::DialFailed(to));
         } else if self.nodes[index].is_none() {
-            self.send(from, REFUSED_MS, MembershipEvent::DialFailed(to));
+            self.send(from, REFUSAL_DELAY_MS, MembershipEvent::DialFailed(to));
         } else if self.links.insert(pair(from, index)) {
             for (at, peer, dialed) in [(from, index, true), (index, from, false)] {
-                let peer = self.nodes[peer].as_ref().expect("both run").local_record().clone();
-                self.send(at, DELAY_MS, MembershipEvent::LinkOpened { peer, dialed });
+                let peer = self.nodes[peer]
+                    .as_ref()
+                    .expect("both nodes are running")
+                    .local_record()
+                    .clone();
+                self.send(at, MESSAGE_DELAY_MS, MembershipEvent::LinkOpened { peer, dialed });
             }
         }
     }
 
     fn close(&mut self, from: usize, peer: &InstanceId) {
         let Some(to) = self.index_of(peer) else { return };
-        if self.links.remove(&pair(from, to)) && self.can_talk(from, to) {
-            let peer = self.instance(from).cloned().expect("the closer runs");
-            self.send(to, DELAY_MS, MembershipEvent::LinkClosed { peer, graceful: true });
+        if self.links.remove(&pair(from, to)) && self.can_reach(from, to) {
+            let peer = self.instance(from).cloned().expect("the closing node is running");
+            self.send(to, MESSAGE_DELAY_MS, MembershipEvent::LinkClosed { peer, graceful: true });
         }
     }
 }
