--- a/src/decision/configuration/follower.rs
+++ b/src/decision/configuration/follower.rs
@@ -1,5 +1,7 @@
 //! Follower of the `configuration` stream: finds a base, folds records in order, and keeps the
-//! last document that this build could check in force.
+//! latest document that this build finds valid in force.
+//!
+//! A base is what a fold can start from: the start of the stream, a snapshot or a partner's state.
 
 use super::in_force::DocumentInForce;
 use super::record::{ConfigurationRecord, RecordError};
@@ -12,103 +14,110 @@
 use std::sync::Arc;
 use std::time::SystemTime;
 
-/// Bad records that the status shows.
-const SHOWN_BAD_RECORDS: usize = 16;
-/// States before an unusable document that are tried in its place.
-const EARLIER_STATES: usize = 64;
-/// Records kept while no base is known; older ones are dropped, since a snapshot covers them.
-const BUFFERED_RECORDS: usize = 16_384;
+/// Maximum number of malformed records shown in the status.
+const MAX_MALFORMED_RECORDS: usize = 16;
+/// Maximum number of earlier states tried in place of a state with an invalid document.
+const MAX_EARLIER_STATES: usize = 64;
+/// Maximum number of records buffered while there is no base; the oldest are dropped, since a later
+/// snapshot covers them.
+const MAX_BUFFERED_RECORDS: usize = 16_384;
 
-/// State of a node, sent to a partner that cannot read the log.
+/// Configuration of a node, sent to a partner that cannot read the log.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ConfigurationCopy {
     /// Record format of the build that folded the state.
     pub format: u32,
-    /// State.
+    /// State folded by the sender.
     pub state: Arc<ConfigurationState>,
-    /// State whose document the partner has in force, if it cannot check that of `state`.
+    /// State whose document the sender has in force, if it finds the document of `state` invalid.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub last_good: Option<Arc<ConfigurationState>>,
 }
 
-/// What a node tells its partners about its configuration.
+/// How far a node has read its configuration, sent to partners.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq, Serialize, Deserialize)]
 pub struct ConfigurationAnnouncement {
-    /// Offset of the last record folded in.
+    /// Offset of the last folded record.
     pub offset: LogOffset,
     /// Revision of the document in force.
     pub in_force: Revision,
 }
 
-/// Event for the follower.
+/// Event for [`ConfigurationFollower`].
 #[derive(Clone, Debug)]
 pub enum ConfigurationEvent {
-    /// The log was read.
+    /// A page of the stream was read.
     LogRead(LogPage),
-    /// A partner sent its state.
+    /// A copy of a partner's configuration was received.
     PartnerCopy(ConfigurationCopy),
 }
 
-/// Record that changed nothing because it is malformed.
+/// Malformed record, skipped by the fold.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct MalformedRecord {
-    /// Offset.
+    /// Offset of the record.
     pub offset: LogOffset,
-    /// What is wrong with it.
+    /// Decoding error.
     pub reason: String,
 }
 
-/// Command of the follower.
+/// Command issued by [`ConfigurationFollower`].
 #[derive(Clone, Debug, PartialEq)]
 pub enum ConfigurationCommand {
     /// Put this document in force.
     PutInForce(Arc<Document>),
-    /// Tell the partners.
+    /// Send this announcement to the partners.
     Announce(ConfigurationAnnouncement),
     /// Report a malformed record.
     ReportMalformedRecord(MalformedRecord),
-    /// Report that a snapshot at this offset differs from the state folded here.
+    /// Report that the snapshot at this offset differs from the state folded by this node.
     ReportSnapshotDiffers(LogOffset),
-    /// Report that the accepted document cannot be checked; the last good one stays.
+    /// Report that the accepted document at this revision is invalid; the last valid one stays in
+    /// force.
     ReportHeldBack(Revision, Faults),
-    /// Report that this build cannot read the record at this offset or fold anything after it.
+    /// Report a record of a later format, by offset and format: this build can fold neither it nor
+    /// any later record.
     ReportNewerFormat(LogOffset, u32),
 }
 
-/// Record that needs a later build.
+/// Record of a later format than this build reads.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct NewerRecord {
-    /// Offset.
+    /// Offset of the record.
     pub offset: LogOffset,
-    /// Format.
+    /// Format of the record.
     pub format: u32,
 }
 
-/// Follower of the stream on one node.
+/// Follower of the `configuration` stream on one node.
 #[derive(Clone, Debug, Default)]
 pub struct ConfigurationFollower {
+    /// Folded state, none while there is no base.
     state: Option<Arc<ConfigurationState>>,
+    /// Records read but not folded yet.
     buffered: BTreeMap<LogOffset, LogRecord>,
-    folded: FoldedRecords,
-    partner_good: Option<Arc<ConfigurationState>>,
+    folded_records: FoldedRecords,
+    /// Last state with a valid document at the partner that sent the latest copy.
+    partner_last_good: Option<Arc<ConfigurationState>>,
     in_force: DocumentInForce,
     newer_record: Option<NewerRecord>,
-    bad_records: VecDeque<MalformedRecord>,
-    snapshot_at: Option<SystemTime>,
+    malformed_records: VecDeque<MalformedRecord>,
+    base_appended_at: Option<SystemTime>,
+    /// Last offset of the stream at the latest read.
     stream_end: Option<LogOffset>,
 }
 
 impl ConfigurationFollower {
-    /// Applies `event` and returns what to do.
+    /// Applies `event` and returns the resulting commands.
     pub fn apply(&mut self, event: ConfigurationEvent) -> Vec<ConfigurationCommand> {
         let before = self.state.as_ref().map(|_| self.announcement());
         let mut commands = Vec::new();
         match event {
-            ConfigurationEvent::LogRead(page) => self.read_page(page, &mut commands),
+            ConfigurationEvent::LogRead(page) => self.buffer_page(page, &mut commands),
             ConfigurationEvent::PartnerCopy(copy) => self.adopt_copy(copy),
         }
         self.fold_buffered(&mut commands);
-        self.check(&mut commands);
+        self.update_in_force(&mut commands);
         let after = self.announcement();
         if self.state.is_some() && before != Some(after) {
             commands.push(ConfigurationCommand::Announce(after));
@@ -116,7 +125,7 @@
         commands
     }
 
-    /// Returns the state, or none while no base has been found.
+    /// Returns the folded state, or none while there is no base.
     pub fn state(&self) -> Option<&Arc<ConfigurationState>> {
         self.state.as_ref()
     }
@@ -131,33 +140,33 @@
         &self.in_force.raw
     }
 
-    /// Returns the faults for which the accepted document is not in force, if any.
+    /// Returns the faults that keep the latest accepted document from being in force, if any.
     pub fn held_back(&self) -> Option<&Faults> {
         self.in_force.held_back.as_ref()
     }
 
-    /// Returns the record that needs a later build, if one was met.
+    /// Returns the record of a later format that stops the fold, if any.
     pub fn newer_record(&self) -> Option<NewerRecord> {
         self.newer_record
     }
 
-    /// Returns the last offset of the stream if its first records have expired and no base has been
-    /// found in what is left.
+    /// Returns the last offset of the stream if its first records have expired and the rest holds
+    /// no base.
     pub fn expired_to(&self) -> Option<LogOffset> {
         self.stream_end.filter(|_| self.state.is_none())
     }
 
-    /// Returns when the last record that a new node can start from was appended, by the log's clock.
+    /// Returns when the latest record that is a base was appended, by the log's clock.
     pub fn base_appended_at(&self) -> Option<SystemTime> {
-        self.snapshot_at
+        self.base_appended_at
     }
 
     /// Returns the latest malformed records.
     pub fn malformed_records(&self) -> impl Iterator<Item = &MalformedRecord> {
-        self.bad_records.iter()
+        self.malformed_records.iter()
     }
 
-    /// Returns what partners should know.
+    /// Returns the announcement to send to partners.
     pub fn announcement(&self) -> ConfigurationAnnouncement {
         ConfigurationAnnouncement {
             offset: self.applied(),
@@ -171,7 +180,7 @@
         last_buffered.max(self.applied()) + 1
     }
 
-    /// Returns a copy for partners, or none while no base has been found.
+    /// Returns the copy to send to partners, or none while there is no base.
     pub fn partner_copy(&self) -> Option<ConfigurationCopy> {
         let state = Arc::clone(self.state.as_ref()?);
         let last_good = self.held_back().and(self.in_force.state.clone());
@@ -182,9 +191,9 @@
         self.state.as_ref().map_or(0, |state| state.applied)
     }
 
-    fn read_page(&mut self, page: LogPage, commands: &mut Vec<ConfigurationCommand>) {
-        let complete_from_start = page.first_offset <= 1;
-        if self.state.is_none() && complete_from_start {
+    fn buffer_page(&mut self, page: LogPage, commands: &mut Vec<ConfigurationCommand>) {
+        let is_complete = page.first_offset <= 1;
+        if self.state.is_none() && is_complete {
             self.state = Some(Arc::default());
         }
         self.stream_end = Some(page.next_offset.saturating_sub(1));
@@ -195,12 +204,12 @@
                 self.buffered.insert(record.offset, record);
             }
         }
-        while self.buffered.len() > BUFFERED_RECORDS {
+        while self.buffered.len() > MAX_BUFFERED_RECORDS {
             self.buffered.pop_first();
         }
     }
 
-    /// Adopts the state of a snapshot if records before it are missing here.
+    /// Adopts the state of a snapshot if records before it have not been read.
     fn adopt_snapshot(&mut self, record: &LogRecord, commands: &mut Vec<ConfigurationCommand>) {
         self.fold_buffered(commands);
         if record.offset == self.applied() + 1 && self.state.is_some() {
@@ -218,11 +227,12 @@
 
     fn adopt_copy(&mut self, copy: ConfigurationCopy) {
         if copy.format <= super::RECORD_FORMAT {
-            self.partner_good = copy.last_good;
+            self.partner_last_good = copy.last_good;
             self.adopt(copy.state);
         }
     }
 
+    /// Replaces the state by `state` if that is later.
     fn adopt(&mut self, state: Arc<ConfigurationState>) {
         let is_later = match &self.state {
             None => true,
@@ -234,7 +244,7 @@
         self.buffered = self.buffered.split_off(&(state.applied + 1));
         self.newer_record = self.newer_record.filter(|newer| newer.offset > state.applied);
         self.state = Some(state);
-        self.folded = FoldedRecords::default();
+        self.folded_records = FoldedRecords::default();
     }
 
     fn fold_buffered(&mut self, commands: &mut Vec<ConfigurationCommand>) {
@@ -245,8 +255,8 @@
         if self.buffered.first_key_value().is_none_or(|(offset, _)| *offset != next_offset) {
             return;
         }
-        if self.folded.start.is_none() {
-            self.folded.start = Some(Arc::clone(state));
+        if self.folded_records.start.is_none() {
+            self.folded_records.start = Some(Arc::clone(state));
         }
         let state = Arc::make_mut(state);
         while let Some(entry) = self.buffered.first_entry() {
@@ -261,14 +271,14 @@
                         commands.push(ConfigurationCommand::ReportSnapshotDiffers(record.offset));
                     }
                     if is_base(&decoded, effect) {
-                        self.snapshot_at = Some(record.appended_at);
+                        self.base_appended_at = Some(record.appended_at);
                     }
                 }
                 Err(RecordError::Malformed(reason)) => {
                     state.skip(record.offset);
-                    let bad = MalformedRecord { offset: record.offset, reason };
-                    remember(&mut self.bad_records, bad.clone());
-                    commands.push(ConfigurationCommand::ReportMalformedRecord(bad));
+                    let malformed = MalformedRecord { offset: record.offset, reason };
+                    push_malformed(&mut self.malformed_records, malformed.clone());
+                    commands.push(ConfigurationCommand::ReportMalformedRecord(malformed));
                 }
                 Err(RecordError::NewerFormat(format)) => {
                     let newer = NewerRecord { offset: record.offset, format };
@@ -279,35 +289,38 @@
                     return;
                 }
             }
-            self.folded.records.push(entry.remove());
+            self.folded_records.records.push(entry.remove());
         }
     }
 
-    /// Puts the folded document in force if this build can check it, or else the latest earlier one
-    /// that it can.
-    fn check(&mut self, commands: &mut Vec<ConfigurationCommand>) {
+    /// Puts the document of the folded state in force if it is valid, otherwise the latest earlier
+    /// valid one.
+    fn update_in_force(&mut self, commands: &mut Vec<ConfigurationCommand>) {
         let Some(state) = &self.state else {
             return;
         };
-        let folded = std::mem::take(&mut self.folded);
-        if !self.in_force.is_behind(state) {
+        let folded_records = std::mem::take(&mut self.folded_records);
+        if !self.in_force.needs_validation(state) {
             return;
         }
-        let fallback = self.partner_good.take();
-        let earlier = std::iter::once_with(|| folded.earlier_states()).flatten().chain(fallback);
-        self.in_force.advance(state, earlier, commands);
+        let partner_state = self.partner_last_good.take();
+        let fallbacks =
+            std::iter::once_with(|| folded_records.earlier_states()).flatten().chain(partner_state);
+        self.in_force.update(state, fallbacks, commands);
     }
 }
 
-/// Records folded since the last check, from which earlier states can be computed again.
+/// Records folded since the last validation, from which the states in between can be recomputed.
 #[derive(Clone, Debug, Default)]
 struct FoldedRecords {
+    /// State before the first of the records.
     start: Option<Arc<ConfigurationState>>,
     records: Vec<LogRecord>,
 }
 
 impl FoldedRecords {
-    /// Returns the states before the last one, the latest first, at most [`EARLIER_STATES`].
+    /// Returns the start and the states after each change, the latest first, at most
+    /// [`MAX_EARLIER_STATES`].
     fn earlier_states(&self) -> Vec<Arc<ConfigurationState>> {
         let Some(start) = &self.start else {
             return Vec::new();
@@ -322,7 +335,7 @@
             if effect == RecordEffect::Changed {
                 states.push_back(Arc::new(state.clone()));
             }
-            if states.len() > EARLIER_STATES {
+            if states.len() > MAX_EARLIER_STATES {
                 states.pop_front();
             }
         }
@@ -330,7 +343,7 @@
     }
 }
 
-/// Whether a new node can start from the record.
+/// Whether a fold can start from the record.
 fn is_base(record: &ConfigurationRecord, effect: RecordEffect) -> bool {
     match record {
         ConfigurationRecord::Initial(_) => effect == RecordEffect::Changed,
@@ -339,9 +352,9 @@
     }
 }
 
-fn remember(bad_records: &mut VecDeque<MalformedRecord>, bad: MalformedRecord) {
-    bad_records.push_back(bad);
-    if bad_records.len() > SHOWN_BAD_RECORDS {
-        bad_records.pop_front();
+fn push_malformed(malformed_records: &mut VecDeque<MalformedRecord>, malformed: MalformedRecord) {
+    malformed_records.push_back(malformed);
+    if malformed_records.len() > MAX_MALFORMED_RECORDS {
+        malformed_records.pop_front();
     }
 }
--- a/src/decision/configuration/mod.rs
+++ b/src/decision/configuration/mod.rs
@@ -1,8 +1,7 @@
-//! Configuration: the fold of the `configuration` stream into the document in force.
+//! Fold of the `configuration` stream into the document in force.
 //!
-//! The fold compares revisions and nothing else, so nodes of different builds agree on it. Whether
-//! the result is a document that this build understands is decided afterwards, by
-//! [`validate_state`].
+//! The fold compares revisions only, so that nodes of different builds compute the same state.
+//! [`validate_state`] then checks whether that state is a valid document for this build.
 
 pub mod follower;
 pub mod in_force;
@@ -29,16 +28,16 @@
 use serde::Deserialize;
 use serde_json::{Value, json};
 
-/// Document of a state in both forms.
+/// Valid document in its raw and its validated form.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ValidatedDocument {
-    /// Raw form.
+    /// Raw form, as deserialized from JSON.
     pub raw: RawDocument,
-    /// Checked form.
+    /// Validated form.
     pub document: Document,
 }
 
-/// Puts the sections of `state` together and checks the result.
+/// Joins the sections of `state` and validates the resulting document.
 ///
 /// # Errors
 ///
@@ -47,32 +46,32 @@
     validate_json(sections::join_sections(state.section_values())?, state.revision)
 }
 
-/// Checks a document in its JSON form.
+/// Validates a document in JSON form; `revision` becomes its offset.
 ///
 /// # Errors
 ///
 /// Every fault that this build finds in the document.
 pub fn validate_json(value: Value, revision: Revision) -> Result<ValidatedDocument, Faults> {
-    let raw = read_raw(value)?;
+    let raw = parse_raw(value)?;
     let mut document = Document::try_from(raw.clone())?;
     document.offset = revision;
     Ok(ValidatedDocument { raw, document })
 }
 
-/// Reads the raw form section by section, so that each unreadable section is one fault with its
-/// path.
-fn read_raw(value: Value) -> Result<RawDocument, Faults> {
+/// Deserializes a document; if that fails, deserializes each section on its own to report one fault
+/// with a path for each invalid section.
+fn parse_raw(value: Value) -> Result<RawDocument, Faults> {
     let error = match serde_json::from_value(value.clone()) {
         Ok(raw) => return Ok(raw),
         Err(error) => error,
     };
     let mut faults = Faults::default();
     for kind in sections::empty_kinds(&value) {
-        add_read_fault(kind.clone(), &json!({ kind: {} }), &mut faults);
+        add_parse_fault(kind.clone(), &json!({ kind: {} }), &mut faults);
     }
     for (section, content) in sections::split_json(&value) {
-        let alone = sections::join_sections(std::iter::once((&section, &content)))?;
-        add_read_fault(section.replacen('/', ".", 1), &alone, &mut faults);
+        let part = sections::join_sections(std::iter::once((&section, &content)))?;
+        add_parse_fault(section.replacen('/', ".", 1), &part, &mut faults);
     }
     if faults.0.is_empty() {
         return Err(whole_document_fault(&error));
@@ -80,8 +79,8 @@
     Err(faults)
 }
 
-fn add_read_fault(path: String, alone: &Value, faults: &mut Faults) {
-    if let Err(error) = RawDocument::deserialize(alone) {
+fn add_parse_fault(path: String, part: &Value, faults: &mut Faults) {
+    if let Err(error) = RawDocument::deserialize(part) {
         faults.add(path, error.to_string());
     }
 }
--- a/src/decision/configuration/prepare.rs
+++ b/src/decision/configuration/prepare.rs
@@ -1,4 +1,4 @@
-//! Turns a request to edit the document into a record for the log, or refuses it.
+//! Validation of a request to edit the document and conversion to a log record.
 
 use super::record::{Edit, KindRevision, SectionChange};
 use super::sections::{SINGLETON_KINDS, join_sections, section_kind};
@@ -16,41 +16,41 @@
 #[derive(Clone, Debug, JsonSchema, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct EditRequest {
-    /// Id chosen by the author; the same id sent again is the same edit.
+    /// Id chosen by the author; a request with the same id is a retry of the same edit.
     pub edit_id: EditId,
-    /// Changes, accepted as a whole or not at all.
+    /// Changes, accepted atomically.
     pub changes: Vec<SectionChange>,
 }
 
-/// Why an edit was not appended.
+/// Reason for refusing an edit before it is appended.
 #[derive(Clone, Debug, PartialEq)]
 pub enum EditRefusal {
     /// The edit has no id or no change, or changes a section twice.
     Malformed(&'static str),
-    /// The author may not edit this section.
+    /// The author is not allowed to edit this section.
     NotOwner(SectionPath),
-    /// A base revision is no longer current.
+    /// A base revision or a required kind is no longer current.
     Outdated(EditOutcome),
-    /// The document that would result has faults.
+    /// The resulting document would have faults.
     Invalid(Faults),
 }
 
-/// Kinds of section that a check compares with each other: an edit of one looks at all of them.
-const CHECKED_TOGETHER: [&str; 2] = ["servers", "site"];
-/// Kind that says who may edit; every edit looks at it.
-const OWNERS: &str = "owners";
+/// Kinds that are validated against each other: an edit of one requires the revisions of all.
+const CROSS_CHECKED_KINDS: [&str; 2] = ["servers", "site"];
+/// Kind that grants the right to edit; every edit requires its revision.
+const OWNERS_KIND: &str = "owners";
 
-/// Checks `request` against `state` and returns the record to append.
+/// Validates `request` against `state` and returns the edit to append.
 ///
 /// # Errors
 ///
-/// The reason for which the edit must not be appended.
+/// The reason for which the edit is refused.
 pub fn prepare_edit(
     state: &ConfigurationState,
     request: EditRequest,
     author: (&OwnerId, &Owner),
 ) -> Result<Edit, EditRefusal> {
-    check_form(&request)?;
+    check_well_formed(&request)?;
     let (author, owner) = author;
     if let Some(change) = request.changes.iter().find(|change| !owner.may_edit(&change.section)) {
         return Err(EditRefusal::NotOwner(change.section.clone()));
@@ -70,7 +70,7 @@
     })
 }
 
-/// Checks the document that `changes` would lead to.
+/// Validates the document that results from applying `changes` to `state`.
 ///
 /// # Errors
 ///
@@ -89,7 +89,7 @@
     validate_json(join_sections(sections.into_iter())?, state.revision)
 }
 
-fn check_form(request: &EditRequest) -> Result<(), EditRefusal> {
+fn check_well_formed(request: &EditRequest) -> Result<(), EditRefusal> {
     if request.edit_id.is_empty() {
         return Err(EditRefusal::Malformed("edit_id must not be empty"));
     }
@@ -116,12 +116,13 @@
     }
 }
 
+/// Returns the current revisions of the kinds that the validation of `changes` depends on.
 fn required_kinds(state: &ConfigurationState, changes: &[SectionChange]) -> Vec<KindRevision> {
-    let compares =
-        changes.iter().any(|change| CHECKED_TOGETHER.contains(&section_kind(&change.section)));
-    let compared: &[&'static str] = if compares { &CHECKED_TOGETHER } else { &[] };
-    std::iter::once(&OWNERS)
-        .chain(compared)
+    let is_cross_checked =
+        changes.iter().any(|change| CROSS_CHECKED_KINDS.contains(&section_kind(&change.section)));
+    let cross_checked: &[&'static str] = if is_cross_checked { &CROSS_CHECKED_KINDS } else { &[] };
+    std::iter::once(&OWNERS_KIND)
+        .chain(cross_checked)
         .map(|kind| KindRevision {
             kind: SmolStr::new_static(kind),
             revision: state.kind_revision(kind),
--- a/src/decision/configuration/record.rs
+++ b/src/decision/configuration/record.rs
@@ -1,7 +1,7 @@
 //! Records of the `configuration` stream and their JSON form.
 //!
-//! A record never holds typed sections: nodes of different builds must agree on which records are
-//! sound, so nothing here depends on what a build knows of the document's fields.
+//! Sections are kept as untyped JSON: nodes of different builds must agree on which records are
+//! well formed, so decoding must not depend on the document fields that a build knows.
 
 use super::sections::split_document;
 use super::state::{ConfigurationState, Section};
@@ -16,61 +16,61 @@
 use std::fmt;
 use std::sync::Arc;
 
-/// Highest record format that this build reads, and the one it writes.
+/// Record format that this build writes, and the latest that it reads.
 pub const RECORD_FORMAT: u32 = 1;
 
 /// Record on the `configuration` stream.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "kind", rename_all = "snake_case")]
 pub enum ConfigurationRecord {
-    /// First document; counts only while no record has been accepted.
+    /// Initial document; has an effect only while no record has been accepted.
     Initial(InitialDocument),
-    /// Change of sections; counts only if every named revision is current.
+    /// Change of sections; accepted only if every base and required revision is current.
     Edit(Edit),
-    /// Whole state, republished before older records expire.
+    /// Complete state, republished before older records expire.
     Snapshot(Snapshot),
 }
 
-/// First document, cut into sections.
+/// Initial document, split into sections.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct InitialDocument {
     /// Author.
     pub author: SmolStr,
     /// Version of the build that wrote the record.
     pub built_by: SmolStr,
-    /// Values by section.
+    /// Values by section path.
     pub sections: BTreeMap<SectionPath, Value>,
 }
 
-/// Change of one or more sections, accepted as a whole or not at all.
+/// Changes of one or more sections, accepted atomically.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Edit {
-    /// Id chosen by the author; a repeated record with the same id changes nothing.
+    /// Id chosen by the author; another record with the same id has no effect.
     pub edit_id: EditId,
-    /// Author: name of the owner whose key was used.
+    /// Name of the owner whose key was used.
     pub author: SmolStr,
     /// Version of the build that validated the edit.
     pub built_by: SmolStr,
-    /// Changes, each to a different section.
+    /// Changes, at most one per section.
     pub changes: Vec<SectionChange>,
-    /// Kinds of section that the validation looked at and that must not have changed since.
+    /// Kinds of section that the validation depended on, at the revisions they must still have.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub requires: Vec<KindRevision>,
 }
 
-/// New value of a section.
+/// Change of one section.
 #[derive(Clone, Debug, JsonSchema, PartialEq, Serialize, Deserialize)]
 pub struct SectionChange {
-    /// Section.
+    /// Path of the section.
     pub section: SectionPath,
-    /// Revision that the author started from, 0 for a section that never was.
+    /// Revision that the change is based on, 0 for a section that never existed.
     pub base_revision: Revision,
-    /// New value; none removes the section.
+    /// New value, none to remove the section.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub value: Option<Value>,
 }
 
-/// Highest revision among the sections of a kind.
+/// Kind of section and the highest revision among its sections.
 #[derive(Clone, Debug, Eq, JsonSchema, PartialEq, Serialize, Deserialize)]
 pub struct KindRevision {
     /// Kind: the part of a section path before the slash.
@@ -79,19 +79,19 @@
     pub revision: Revision,
 }
 
-/// Whole state up to an offset below the snapshot's own.
+/// Complete state up to an offset below that of the snapshot record.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Snapshot {
-    /// State after the record at `state.applied`.
+    /// State after folding the record at `state.applied`.
     pub state: ConfigurationState,
 }
 
-/// Why a record cannot be used.
+/// Error in decoding a record.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum RecordError {
-    /// The payload is not a record; it changes nothing on any node.
+    /// The payload is not a record; every node skips it.
     Malformed(String),
-    /// The record has a later format; this build cannot fold it or anything after it.
+    /// The record has this later format; this build can fold neither it nor any later record.
     NewerFormat(u32),
 }
 
@@ -108,8 +108,9 @@
 
 impl std::error::Error for RecordError {}
 
+/// Part of a payload that has the same form in all formats.
 #[derive(Deserialize)]
-struct Header {
+struct FormatHeader {
     format: u32,
 }
 
@@ -121,7 +122,7 @@
 }
 
 impl ConfigurationRecord {
-    /// Returns the record that sets `raw` as the first document of an empty stream.
+    /// Returns the record that sets `raw` as the initial document of an empty stream.
     pub fn initial(raw: RawDocument) -> Self {
         Self::Initial(InitialDocument {
             author: SmolStr::new_static("initial"),
@@ -130,8 +131,8 @@
         })
     }
 
-    /// Returns the record that sets `raw` as the document of a stream whose records up to `expired_to`
-    /// have expired; only nodes that know of no document take it.
+    /// Returns the snapshot that sets `raw` as the document of a stream whose records up to
+    /// `expired_to` have expired; only nodes without a state adopt it.
     pub fn restored_snapshot(raw: &RawDocument, expired_to: LogOffset) -> Self {
         let section = |value| Section {
             revision: expired_to,
@@ -150,29 +151,29 @@
         })
     }
 
-    /// Returns the payload for the log.
+    /// Encodes the record as a log payload.
     pub fn encode(&self) -> Bytes {
         let envelope = Envelope { format: RECORD_FORMAT, record: self };
         serde_json::to_vec(&envelope).expect("records hold only JSON values").into()
     }
 
-    /// Reads a payload from the log.
+    /// Decodes a log payload.
     ///
     /// # Errors
     ///
-    /// A payload that is not a record, or one of a later format.
+    /// The payload is malformed or of a later format.
     pub fn decode(payload: &[u8]) -> Result<Self, RecordError> {
         let malformed = |error: serde_json::Error| RecordError::Malformed(error.to_string());
-        let header: Header = serde_json::from_slice(payload).map_err(malformed)?;
+        let header: FormatHeader = serde_json::from_slice(payload).map_err(malformed)?;
         if header.format > RECORD_FORMAT {
             return Err(RecordError::NewerFormat(header.format));
         }
         let record: Self = serde_json::from_slice(payload).map_err(malformed)?;
-        record.check().map_err(|reason| RecordError::Malformed(reason.to_owned()))?;
+        record.check_edit().map_err(|reason| RecordError::Malformed(reason.to_owned()))?;
         Ok(record)
     }
 
-    fn check(&self) -> Result<(), &'static str> {
+    fn check_edit(&self) -> Result<(), &'static str> {
         let Self::Edit(edit) = self else {
             return Ok(());
         };
--- a/src/decision/configuration/sections.rs
+++ b/src/decision/configuration/sections.rs
@@ -1,4 +1,4 @@
-//! Sections of the document: how a document is cut into them and put together again.
+//! Splitting of a document into sections, and joining of sections into a document.
 
 use crate::document::RawDocument;
 use crate::types::{Faults, SectionPath};
@@ -6,21 +6,22 @@
 use smol_str::format_smolstr;
 use std::collections::BTreeMap;
 
-/// Kinds that are one section instead of a section for each name.
+/// Kinds that consist of a single section instead of one section per name.
 pub const SINGLETON_KINDS: [&str; 1] = ["site"];
 
-/// Returns the kind of a section: the part of its path before the slash.
+/// Returns the kind of a section: the part of its path before the slash, if any.
 pub fn section_kind(section: &str) -> &str {
     section.split_once('/').map_or(section, |(kind, _)| kind)
 }
 
-/// Cuts a document into its sections.
+/// Splits a document into sections.
 pub fn split_document(raw: &RawDocument) -> BTreeMap<SectionPath, Value> {
     let value = serde_json::to_value(raw).expect("a raw document is JSON");
     split_json(&value)
 }
 
-/// Cuts a document in its JSON form into its sections; values that are no objects are left whole.
+/// Splits a document in JSON form into sections; a kind whose value is not an object becomes one
+/// section.
 pub fn split_json(document: &Value) -> BTreeMap<SectionPath, Value> {
     let mut sections = BTreeMap::new();
     let Value::Object(kinds) = document else {
@@ -33,15 +34,15 @@
                     sections.insert(format_smolstr!("{kind}/{name}"), value.clone());
                 }
             }
-            whole => {
-                sections.insert(kind.into(), whole.clone());
+            single => {
+                sections.insert(kind.into(), single.clone());
             }
         }
     }
     sections
 }
 
-/// Returns the kinds of a document in its JSON form that have no section in them.
+/// Returns the kinds without a section in a document in JSON form.
 pub fn empty_kinds(document: &Value) -> Vec<String> {
     let Value::Object(kinds) = document else {
         return Vec::new();
@@ -50,11 +51,11 @@
     kinds.iter().filter(|(_, value)| is_empty(value)).map(|(kind, _)| kind.clone()).collect()
 }
 
-/// Puts sections together to a document in its JSON form.
+/// Joins sections into a document in JSON form.
 ///
 /// # Errors
 ///
-/// A kind that is both one section and a section for each name.
+/// A kind that appears both as a single section and as sections per name.
 pub fn join_sections<'a>(
     sections: impl Iterator<Item = (&'a SectionPath, &'a Value)>,
 ) -> Result<Value, Faults> {
--- a/src/decision/configuration/state.rs
+++ b/src/decision/configuration/state.rs
@@ -1,4 +1,4 @@
-//! Fold of the `configuration` stream: every node computes the same state from the same records.
+//! State folded from the `configuration` stream; the same records give the same state on each node.
 
 use super::record::{ConfigurationRecord, Edit, InitialDocument, KindRevision, SectionChange};
 use super::sections::section_kind;
@@ -13,53 +13,53 @@
 use std::time::{SystemTime, UNIX_EPOCH};
 use xxhash_rust::xxh3::Xxh3Default;
 
-/// Edits whose outcome is remembered.
+/// Maximum number of edits in the history.
 pub const MAX_HISTORY_EDITS: usize = 1_024;
-/// Removed sections whose last revision is remembered.
+/// Maximum number of removed sections whose last revision is kept.
 pub const MAX_REMOVED_SECTIONS: usize = 4_096;
 
-/// State after a prefix of the stream.
+/// Configuration state after a prefix of the stream.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct ConfigurationState {
-    /// Offset of the last record folded in.
+    /// Offset of the last folded record.
     pub applied: LogOffset,
     /// Offset of the last record that changed a section.
     pub revision: Revision,
-    /// Sections, removed ones included.
+    /// Sections by path, including removed ones.
     pub sections: BTreeMap<SectionPath, Arc<Section>>,
     /// Outcomes of the last [`MAX_HISTORY_EDITS`] edits, oldest first.
     pub history: VecDeque<Arc<EditEntry>>,
 }
 
-/// Section of the document.
+/// Section of the document with its revision.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Section {
     /// Offset of the record that set the value.
     pub revision: Revision,
     /// Author of that record.
     pub author: SmolStr,
-    /// Id of the edit; none for the first document.
+    /// Id of the edit, none for the initial document.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub edit_id: Option<EditId>,
-    /// Value; none if the section was removed.
+    /// Value, none if the section was removed.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub value: Option<Value>,
 }
 
-/// Edit and what became of it.
+/// Entry of the history: an edit and its outcome.
 #[derive(Clone, Debug, Eq, JsonSchema, PartialEq, Serialize, Deserialize)]
 pub struct EditEntry {
-    /// Offset of the record.
+    /// Offset of the edit's record.
     pub offset: LogOffset,
-    /// Time of the append by the log's clock, in milliseconds since the Unix epoch.
+    /// Time of the append by the log's clock, in Unix milliseconds.
     pub appended_at_unix_ms: u64,
     /// Id of the edit.
     pub edit_id: EditId,
-    /// Author.
+    /// Name of the author.
     pub author: SmolStr,
     /// Version of the build that validated the edit.
     pub built_by: SmolStr,
-    /// Sections that the edit names.
+    /// Sections that the edit changes.
     pub sections: Vec<SectionPath>,
     /// Outcome.
     pub outcome: EditOutcome,
@@ -69,62 +69,62 @@
 #[derive(Clone, Debug, Eq, JsonSchema, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "outcome", rename_all = "snake_case")]
 pub enum EditOutcome {
-    /// All changes are made; their revision is the edit's offset.
+    /// All changes were applied; their revision is the offset of the edit.
     Accepted,
-    /// Another edit changed a section first.
+    /// Another edit changed one of the sections first.
     Lost(Winner),
-    /// A kind of section that the validation looked at has changed.
+    /// A kind of section that the validation depended on has changed.
     Overtaken(KindRevision),
 }
 
-/// Edit that holds the revision another edit wanted to replace.
+/// Section revision that an edit conflicted with, and the edit that set it.
 #[derive(Clone, Debug, Eq, JsonSchema, PartialEq, Serialize, Deserialize)]
 pub struct Winner {
-    /// Section.
+    /// Path of the section.
     pub section: SectionPath,
     /// Revision of the section, 0 if it does not exist.
     pub revision: Revision,
     /// Author of that revision.
     pub author: SmolStr,
-    /// Id of the edit that set it; none for the first document.
+    /// Id of the edit that set it, none for the initial document.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub edit_id: Option<EditId>,
 }
 
-/// What a record did to the state.
+/// Effect of a record on the state.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum RecordEffect {
     /// Sections changed.
     Changed,
-    /// Nothing changed: a lost or repeated edit, a snapshot, a second first document.
+    /// Nothing changed: a rejected or repeated edit, a snapshot, or a second initial document.
     Unchanged,
-    /// A snapshot differs from the state folded here.
+    /// A snapshot differs from the state folded by this node.
     SnapshotDiffers,
 }
 
 impl ConfigurationState {
-    /// Folds in `record`, read at `at`, which must be the next one of the stream.
-    pub fn fold(&mut self, at: &LogRecord, record: &ConfigurationRecord) -> RecordEffect {
+    /// Folds `record`, decoded from `log_record`, which must be the next one of the stream.
+    pub fn fold(&mut self, log_record: &LogRecord, record: &ConfigurationRecord) -> RecordEffect {
         let effect = match record {
-            ConfigurationRecord::Initial(initial) => self.fold_initial(at.offset, initial),
-            ConfigurationRecord::Edit(edit) => self.fold_edit(at, edit),
-            ConfigurationRecord::Snapshot(snapshot) => self.compare(&snapshot.state),
+            ConfigurationRecord::Initial(initial) => self.fold_initial(log_record.offset, initial),
+            ConfigurationRecord::Edit(edit) => self.fold_edit(log_record, edit),
+            ConfigurationRecord::Snapshot(snapshot) => self.compare_snapshot(&snapshot.state),
         };
-        self.applied = at.offset;
+        self.applied = log_record.offset;
         effect
     }
 
-    /// Passes over a malformed record at `offset`.
+    /// Skips the malformed record at `offset`.
     pub fn skip(&mut self, offset: LogOffset) {
         self.applied = offset;
     }
 
-    /// Returns the entry of the edit with this id, if it is remembered.
+    /// Returns the entry of the edit with this id, if the history still holds it.
     pub fn find_edit(&self, edit_id: &str) -> Option<&Arc<EditEntry>> {
         self.history.iter().rev().find(|entry| entry.edit_id == edit_id)
     }
 
-    /// Returns the revision of a section, 0 if it never was.
+    /// Returns the revision of a section, 0 if it never existed.
     pub fn section_revision(&self, section: &str) -> Revision {
         self.sections.get(section).map_or(0, |section| section.revision)
     }
@@ -139,16 +139,16 @@
             .unwrap_or(0)
     }
 
-    /// Returns the sections that have a value.
+    /// Returns the paths and values of the sections that are not removed.
     pub fn section_values(&self) -> impl Iterator<Item = (&SectionPath, &Value)> {
         self.sections
             .iter()
             .filter_map(|(section, content)| Some((section, content.value.as_ref()?)))
     }
 
-    /// Returns what an edit with these changes and requirements would come to.
+    /// Returns the outcome of an edit with these changes and required revisions.
     pub fn evaluate(&self, changes: &[SectionChange], requires: &[KindRevision]) -> EditOutcome {
-        if let Some(winner) = changes.iter().find_map(|change| self.winner_over(change)) {
+        if let Some(winner) = changes.iter().find_map(|change| self.find_winner(change)) {
             return EditOutcome::Lost(winner);
         }
         for required in requires {
@@ -163,7 +163,7 @@
         EditOutcome::Accepted
     }
 
-    /// Returns a digest of the sections' revisions; equal states have equal digests.
+    /// Returns a digest of the section paths and revisions; equal states have equal digests.
     pub fn digest(&self) -> u64 {
         let mut hasher = Xxh3Default::new();
         for (path, section) in &self.sections {
@@ -190,28 +190,28 @@
         RecordEffect::Changed
     }
 
-    fn fold_edit(&mut self, at: &LogRecord, edit: &Edit) -> RecordEffect {
+    fn fold_edit(&mut self, log_record: &LogRecord, edit: &Edit) -> RecordEffect {
         if self.find_edit(&edit.edit_id).is_some() {
             return RecordEffect::Unchanged;
         }
         let outcome = self.evaluate(&edit.changes, &edit.requires);
-        let accepted = outcome == EditOutcome::Accepted;
-        if accepted {
-            self.change(at.offset, edit);
+        let is_accepted = outcome == EditOutcome::Accepted;
+        if is_accepted {
+            self.apply_edit(log_record.offset, edit);
         }
-        self.remember(EditEntry {
-            offset: at.offset,
-            appended_at_unix_ms: unix_ms(at.appended_at),
+        self.push_history(EditEntry {
+            offset: log_record.offset,
+            appended_at_unix_ms: unix_ms(log_record.appended_at),
             edit_id: edit.edit_id.clone(),
             author: edit.author.clone(),
             built_by: edit.built_by.clone(),
             sections: edit.changes.iter().map(|change| change.section.clone()).collect(),
             outcome,
         });
-        if accepted { RecordEffect::Changed } else { RecordEffect::Unchanged }
+        if is_accepted { RecordEffect::Changed } else { RecordEffect::Unchanged }
     }
 
-    fn change(&mut self, offset: LogOffset, edit: &Edit) {
+    fn apply_edit(&mut self, offset: LogOffset, edit: &Edit) {
         for change in &edit.changes {
             let section = Section {
                 revision: offset,
@@ -222,11 +222,11 @@
             self.sections.insert(change.section.clone(), Arc::new(section));
         }
         self.revision = offset;
-        self.forget_removed();
+        self.trim_removed_sections();
     }
 
-    /// Forgets the sections removed longest ago beyond [`MAX_REMOVED_SECTIONS`].
-    fn forget_removed(&mut self) {
+    /// Drops the sections removed longest ago beyond [`MAX_REMOVED_SECTIONS`].
+    fn trim_removed_sections(&mut self) {
         let mut removed: Vec<(Revision, SectionPath)> = self
             .sections
             .iter()
@@ -242,14 +242,14 @@
         }
     }
 
-    fn remember(&mut self, entry: EditEntry) {
+    fn push_history(&mut self, entry: EditEntry) {
         self.history.push_back(Arc::new(entry));
         while self.history.len() > MAX_HISTORY_EDITS {
             self.history.pop_front();
         }
     }
 
-    fn winner_over(&self, change: &SectionChange) -> Option<Winner> {
+    fn find_winner(&self, change: &SectionChange) -> Option<Winner> {
         let current = self.sections.get(&change.section);
         let revision = current.map_or(0, |section| section.revision);
         if revision == change.base_revision {
@@ -263,16 +263,17 @@
         })
     }
 
-    fn compare(&self, snapshot: &Self) -> RecordEffect {
-        let comparable = snapshot.revision == self.revision;
-        if comparable && snapshot.digest() != self.digest() {
+    /// Compares a snapshot with this state if both are at the same revision.
+    fn compare_snapshot(&self, snapshot: &Self) -> RecordEffect {
+        let is_comparable = snapshot.revision == self.revision;
+        if is_comparable && snapshot.digest() != self.digest() {
             return RecordEffect::SnapshotDiffers;
         }
         RecordEffect::Unchanged
     }
 }
 
-fn unix_ms(at: SystemTime) -> u64 {
-    let since_epoch = at.duration_since(UNIX_EPOCH).unwrap_or_default();
+fn unix_ms(time: SystemTime) -> u64 {
+    let since_epoch = time.duration_since(UNIX_EPOCH).unwrap_or_default();
     u64::try_from(since_epoch.as_millis()).unwrap_or(u64::MAX)
 }
--- a/src/decision/membership/members.rs
+++ b/src/decision/membership/members.rs
@@ -25,8 +25,8 @@
 }
 
 impl Members {
-    /// Returns an empty set that declares suspects dead after `suspicion_timeout` and forgets members
-    /// `dead_retention` after they died or left.
+    /// Returns an empty set that declares suspects dead after `suspicion_timeout` and forgets
+    /// members `dead_retention` after they died or left.
     pub fn new(suspicion_timeout: Duration, dead_retention: Duration) -> Self {
         Self { members: BTreeMap::new(), suspicion_timeout, dead_retention, change_count: 0 }
     }
--- a/src/decision/membership/mod.rs
+++ b/src/decision/membership/mod.rs
@@ -1,7 +1,7 @@
 //! Membership protocol: selection of partners, failure detection, and the number of live nodes.
 //!
-//! Changed records are flooded over the links; unchanged ones are not sent again. Membership affects
-//! efficiency only: no safety property depends on it.
+//! Changed records are flooded over the links; unchanged ones are not sent again. Membership
+//! affects efficiency only: no safety property depends on it.
 
 pub mod members;
 pub mod messages;
@@ -121,8 +121,8 @@
         self.members.digest(&self.local)
     }
 
-    /// Returns an estimate of the number of live nodes, this one included; the number of seeds while
-    /// no link is open.
+    /// Returns an estimate of the number of live nodes, this one included; the number of seeds
+    /// while no link is open.
     pub fn live_nodes(&self) -> u32 {
         let count = if self.links.is_empty() {
             self.seeds.len().max(1)
@@ -343,7 +343,7 @@
         }
     }
 
-    /// Dials selected partners and the tree parent where there is no link, and closes surplus links.
+    /// Dials selected partners and the tree parent if there is no link, and closes surplus links.
     fn update_links(&mut self, now: Instant, commands: &mut Vec<MembershipCommand>) {
         let live: Vec<&MemberRecord> = self.members.live().collect();
         let MembershipSettings { max_full_mesh_nodes, partial_mesh_partners, .. } = self.settings;
--- a/src/decision/membership/settings.rs
+++ b/src/decision/membership/settings.rs
@@ -15,7 +15,7 @@
     pub suspicion_timeout_ms: u64,
     /// Milliseconds for which the record of a member that is dead or left is kept.
     pub dead_retention_ms: u64,
-    /// Milliseconds before an address is dialed again; doubled with each further dial, up to a limit.
+    /// Milliseconds before an address is dialed again, doubled with each dial up to a limit.
     pub redial_delay_ms: u64,
     /// Milliseconds for which a link that is no longer needed stays open.
     pub surplus_link_grace_ms: u64,
--- a/src/decision/membership/tree.rs
+++ b/src/decision/membership/tree.rs
@@ -3,8 +3,8 @@
 //! Each node computes the tree from its own member set. One node per availability zone is the hub.
 //! About as many nodes as the square root of the zone's size are the hub's children (the middle
 //! level), and every other node of the zone is a leaf below one of these. The hub of the first zone
-//! is the root, and the parent of the other hubs. Nodes are ordered by hashes of their instance ids,
-//! so that the loss of a node changes the place of few others.
+//! is the root, and the parent of the other hubs. Nodes are ordered by hashes of their instance
+//! ids, so that the loss of a node changes the place of few others.
 
 use super::messages::MemberRecord;
 use crate::types::{AvailabilityZone, InstanceId};
