--- a/tests/configuration/admin.rs
+++ b/tests/configuration/admin.rs
@@ -1,4 +1,4 @@
-//! Routes, roles and description of the administration API.
+//! Routes, roles and OpenAPI description of the administration API.
 
 use coriandertide::admin::access::authenticate;
 use coriandertide::admin::routes::find_route;
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn bootstrap_key_counts_only_without_owners() {
+fn bootstrap_key_is_valid_only_without_owners() {
     let bootstrap = hash_key("bootstrap");
     let access = |key, document: &Document| {
         authenticate(key, Some(document), Some(&bootstrap))
--- a/tests/configuration/cli.rs
+++ b/tests/configuration/cli.rs
@@ -1,4 +1,4 @@
-//! Differences that the command line works out from a file.
+//! Differences that the command line computes between a document file and the accepted document.
 
 use coriandertide::admin::messages::DocumentReply;
 use coriandertide::cli::diff::{DocumentFile, differences, format_difference};
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn changes_name_the_revisions_they_replace() {
+fn changes_carry_the_revisions_they_replace() {
     let file = DocumentFile::parse(
         r#"{ "base_revision": 5, "site": { "budget_watts": 6 }, "models": { "old": {} } }"#,
     )
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn file_of_another_form_is_refused() {
+fn malformed_file_is_refused() {
     assert_eq!(DocumentFile::parse("[]").unwrap_err(), "the document must be an object");
     assert!(DocumentFile::parse(r#"{"base_revision":"x"}"#).is_err());
     assert!(DocumentFile::parse("{").is_err());
--- a/tests/configuration/decoders.rs
+++ b/tests/configuration/decoders.rs
@@ -1,4 +1,4 @@
-//! Decoders of records, copies and the document never panic and explain every fault.
+//! Decoders of records, copies and documents never panic, and their errors have a message.
 
 use super::seeded;
 use coriandertide::decision::configuration::{
@@ -27,7 +27,7 @@
     })
 }
 
-fn explained(result: Result<ConfigurationRecord, RecordError>) -> bool {
+fn is_explained(result: Result<ConfigurationRecord, RecordError>) -> bool {
     result.err().is_none_or(|fault| !fault.to_string().is_empty())
 }
 
@@ -36,8 +36,8 @@
 
     #[test]
     fn decoders_never_panic(bytes in prop::collection::vec(any::<u8>(), 0..64), value in any_json()) {
-        prop_assert!(explained(ConfigurationRecord::decode(&bytes)));
-        prop_assert!(explained(ConfigurationRecord::decode(value.to_string().as_bytes())));
+        prop_assert!(is_explained(ConfigurationRecord::decode(&bytes)));
+        prop_assert!(is_explained(ConfigurationRecord::decode(value.to_string().as_bytes())));
         let _copy: Result<ConfigurationCopy, _> = serde_json::from_value(value.clone());
         if let Err(faults) = validate_json(value, 1) {
             prop_assert!(!faults.to_string().is_empty());
@@ -49,12 +49,12 @@
         let mut payload = ConfigurationRecord::initial(RawDocument::default()).encode().to_vec();
         let index = at % payload.len();
         payload[index] = byte;
-        prop_assert!(explained(ConfigurationRecord::decode(&payload)));
+        prop_assert!(is_explained(ConfigurationRecord::decode(&payload)));
     }
 }
 
 #[test]
-fn encoded_records_keep_their_form() {
+fn encoded_record_format_is_stable() {
     let record = ConfigurationRecord::initial(RawDocument::default());
     assert_eq!(ConfigurationRecord::decode(&record.encode()), Ok(record.clone()));
     let payload = String::from_utf8(record.encode().to_vec()).unwrap();
--- a/tests/configuration/document.rs
+++ b/tests/configuration/document.rs
@@ -1,4 +1,4 @@
-//! Every fault of a document is reported with its path.
+//! Every fault of a document is reported with its path, and owners edit only their own sections.
 
 use coriandertide::decision::configuration::validate_json;
 use coriandertide::document::{Owner, OwnerRole, SectionPattern, hash_key};
--- a/tests/configuration/editors.rs
+++ b/tests/configuration/editors.rs
@@ -1,4 +1,5 @@
-//! Editors by the hundred race for the same sections while answers get lost.
+//! Hundreds of editors race for the same sections while answers of the log get lost: no accepted
+//! edit is lost or applied twice.
 
 use super::generate::log_record;
 use super::seeded;
@@ -22,9 +23,12 @@
     log: Vec<LogRecord>,
     nodes: Vec<ConfigurationFollower>,
     rng: Rng,
-    answered: BTreeMap<String, u32>,
-    logged: BTreeSet<usize>,
-    lost: u32,
+    /// Accepted edits by section.
+    accepted: BTreeMap<String, u32>,
+    /// Editors whose edit was appended at least once.
+    appended: BTreeSet<usize>,
+    /// Edits refused before any append.
+    rejected: u32,
 }
 
 impl Site {
@@ -34,11 +38,11 @@
             log: vec![log_record(1, first)],
             nodes: vec![ConfigurationFollower::default(); NODES],
             rng: Rng::with_seed(seed),
-            answered: BTreeMap::new(),
-            logged: BTreeSet::new(),
-            lost: 0,
+            accepted: BTreeMap::new(),
+            appended: BTreeSet::new(),
+            rejected: 0,
         };
-        (0..NODES).for_each(|node| site.catch_up(node));
+        (0..NODES).for_each(|node| site.read_log(node));
         site
     }
 
@@ -47,7 +51,8 @@
         self.log.push(log_record(offset, payload));
     }
 
-    fn catch_up(&mut self, node: usize) {
+    /// Lets a node read a random part of the log that it has not read yet.
+    fn read_log(&mut self, node: usize) {
         let from = usize::try_from(self.nodes[node].next_read_offset()).unwrap() - 1;
         let to = self.rng.usize(from..=self.log.len()).max(from);
         let next_offset = self.log.len() as u64 + 1;
@@ -56,8 +61,8 @@
         self.nodes[node].apply(ConfigurationEvent::LogRead(page));
     }
 
-    /// An editor adds 1 to a section's rate through a node that may lag; its answer may get lost,
-    /// and it then asks again, perhaps another node.
+    /// Lets an editor add 1 to the rate of a section through a node that may lag. The request or
+    /// its answer may get lost; the editor then retries, possibly through another node.
     fn edit(&mut self, editor: usize, owner: &Owner) {
         let section = format!("workspaces/w{}", self.rng.usize(..SECTIONS));
         let mut node = self.rng.usize(..NODES);
@@ -77,7 +82,7 @@
             let state = self.nodes[node].state().unwrap();
             if let Some(entry) = state.find_edit(&request.edit_id) {
                 match &entry.outcome {
-                    EditOutcome::Accepted => *self.answered.entry(section).or_default() += 1,
+                    EditOutcome::Accepted => *self.accepted.entry(section).or_default() += 1,
                     EditOutcome::Lost(winner) => assert!(winner.revision < entry.offset),
                     EditOutcome::Overtaken(kind) => panic!("{kind:?}"),
                 }
@@ -86,13 +91,14 @@
             match prepare_edit(state, request.clone(), (&"team".into(), owner)) {
                 Ok(edit) if self.rng.u8(..) < 200 => {
                     self.append(ConfigurationRecord::Edit(edit).encode());
-                    self.logged.insert(editor);
+                    self.appended.insert(editor);
                 }
                 Ok(_) => {}
                 Err(EditRefusal::Outdated(EditOutcome::Lost(_))) => {
-                    // This record may have been appended by an earlier try: only the log tells.
-                    if !self.logged.contains(&editor) {
-                        self.lost += 1;
+                    // An earlier attempt may have appended this edit; only its entry in the
+                    // history shows the outcome.
+                    if !self.appended.contains(&editor) {
+                        self.rejected += 1;
                         return;
                     }
                 }
@@ -101,7 +107,7 @@
             if self.rng.bool() {
                 node = self.rng.usize(..NODES);
             }
-            self.catch_up(node);
+            self.read_log(node);
         }
     }
 }
@@ -120,7 +126,7 @@
         for editor in 0..EDITORS {
             site.edit(editor, &owner);
             let node = site.rng.usize(..NODES);
-            site.catch_up(node);
+            site.read_log(node);
         }
         let next_offset = site.log.len() as u64 + 1;
         for node in &mut site.nodes {
@@ -133,8 +139,8 @@
             let rates: BTreeMap<String, u32> = node.raw_in_force().workspaces.iter()
                 .map(|(name, workspace)| (format!("workspaces/{name}"), workspace.requests_per_s))
                 .collect();
-            prop_assert_eq!(&rates, &site.answered);
+            prop_assert_eq!(&rates, &site.accepted);
         }
-        prop_assert!(site.answered.values().sum::<u32>() + site.lost <= EDITORS as u32);
+        prop_assert!(site.accepted.values().sum::<u32>() + site.rejected <= EDITORS as u32);
     }
 }
--- a/tests/configuration/fold.rs
+++ b/tests/configuration/fold.rs
@@ -1,8 +1,8 @@
-//! Differential test of the follower against the naive fold, on every way a node can come to its
-//! state: whole stream, arbitrary pages, snapshot after retention, partner's copy.
+//! Differential test of the follower against a naive fold, for each way in which a node can obtain
+//! its state: the whole stream, arbitrary pages, a snapshot after retention, a partner's copy.
 
 use super::generate::{Step, log_record, steps};
-use super::naive::Naive;
+use super::naive::NaiveFold;
 use super::seeded;
 use coriandertide::decision::configuration::{
     ConfigurationCommand, ConfigurationEvent, ConfigurationFollower, ConfigurationRecord,
@@ -17,11 +17,11 @@
 type Sections = BTreeMap<String, (u64, Option<Value>)>;
 
 fn page(records: &[LogRecord], first_offset: u64, from: u64, to: u64) -> ConfigurationEvent {
-    let wanted = |record: &&LogRecord| (from.max(first_offset)..=to).contains(&record.offset);
+    let in_range = |record: &&LogRecord| (from.max(first_offset)..=to).contains(&record.offset);
     ConfigurationEvent::LogRead(LogPage {
         first_offset,
         next_offset: records.len() as u64 + 1,
-        records: records.iter().filter(wanted).cloned().collect(),
+        records: records.iter().filter(in_range).cloned().collect(),
     })
 }
 
@@ -31,21 +31,24 @@
     Some(content.map(|(path, s)| (path.to_string(), (s.revision, s.value.clone()))).collect())
 }
 
-/// Turns steps into a stream, together with the naive sections after each record.
-fn stream(steps: Vec<Step>) -> (Vec<LogRecord>, Vec<Sections>, Naive) {
-    let mut naive = Naive::default();
+/// Returns the stream made of `steps`, the sections of the naive fold after each record, and that
+/// fold.
+fn stream(steps: Vec<Step>) -> (Vec<LogRecord>, Vec<Sections>, NaiveFold) {
+    let mut naive = NaiveFold::default();
     let mut follower = ConfigurationFollower::default();
     let mut records = Vec::new();
-    let mut history = vec![Sections::new()];
+    let mut sections_after = vec![Sections::new()];
     for (offset, step) in (1..).zip(steps) {
         let payload = match step {
             Step::Record(record) => record.encode(),
             Step::CurrentEdit(mut edit) => {
                 for change in &mut edit.changes {
-                    change.base_revision = naive.revision(&change.section);
+                    change.base_revision = naive.section_revision(&change.section);
                 }
-                edit.requires =
-                    vec![KindRevision { kind: "site".into(), revision: naive.newest("site") }];
+                edit.requires = vec![KindRevision {
+                    kind: "site".into(),
+                    revision: naive.kind_revision("site"),
+                }];
                 ConfigurationRecord::Edit(edit).encode()
             }
             Step::Snapshot => match follower.partner_copy() {
@@ -58,24 +61,28 @@
             Step::Malformed(bytes) => bytes.into(),
         };
         records.push(log_record(offset, payload));
-        naive.read(offset, &records.last().unwrap().payload);
+        naive.fold(offset, &records.last().unwrap().payload);
         follower.apply(page(&records, 1, offset, offset));
-        history.push(naive.sections());
+        sections_after.push(naive.sections());
     }
-    (records, history, naive)
+    (records, sections_after, naive)
 }
 
 proptest! {
     #![proptest_config(seeded(601))]
 
     #[test]
-    fn follower_agrees_with_naive_fold(steps in steps(40), cut in 0..40_u64, jump in 1..9_u64) {
-        let (records, history, naive) = stream(steps);
+    fn follower_agrees_with_naive_fold(
+        steps in steps(40),
+        expired in 0..40_u64,
+        page_len in 1..9_u64,
+    ) {
+        let (records, sections_after, naive) = stream(steps);
         let last = records.len() as u64;
 
         let mut whole = ConfigurationFollower::default();
         whole.apply(page(&records, 1, 1, last));
-        prop_assert_eq!(sections(&whole), history.last().cloned());
+        prop_assert_eq!(sections(&whole), sections_after.last().cloned());
         let state = whole.state().unwrap();
         for (edit_id, offset) in &naive.accepted_ids {
             prop_assert_eq!(state.find_edit(edit_id).map(|entry| entry.offset), Some(*offset));
@@ -83,20 +90,20 @@
 
         let mut overlapping = ConfigurationFollower::default();
         let mut applied = 0;
-        for end in (1..=last).step_by(usize::try_from(jump).unwrap()).chain([last]) {
-            overlapping.apply(page(&records, 1, end.saturating_sub(jump + 2), end));
+        for end in (1..=last).step_by(usize::try_from(page_len).unwrap()).chain([last]) {
+            overlapping.apply(page(&records, 1, end.saturating_sub(page_len + 2), end));
             overlapping.apply(page(&records, 1, 1, end / 2));
             prop_assert!(overlapping.announcement().offset >= applied);
             applied = overlapping.announcement().offset;
-            prop_assert_eq!(sections(&overlapping), history.get(applied as usize).cloned());
+            prop_assert_eq!(sections(&overlapping), sections_after.get(applied as usize).cloned());
         }
         prop_assert_eq!(overlapping.state(), whole.state());
 
         let mut late = ConfigurationFollower::default();
-        late.apply(page(&records, cut + 1, 1, last));
+        late.apply(page(&records, expired + 1, 1, last));
         if let Some(found) = sections(&late) {
             let offset = late.announcement().offset as usize;
-            prop_assert_eq!(Some(found), history.get(offset).cloned());
+            prop_assert_eq!(Some(found), sections_after.get(offset).cloned());
         }
         late.apply(ConfigurationEvent::PartnerCopy(whole.partner_copy().unwrap()));
         prop_assert_eq!(late.state(), whole.state());
@@ -104,7 +111,7 @@
 }
 
 #[test]
-fn snapshot_lets_a_late_node_in_after_retention() {
+fn late_node_starts_from_a_snapshot_after_retention() {
     let first = ConfigurationRecord::initial(RawDocument::default()).encode();
     let mut early = ConfigurationFollower::default();
     let mut records = vec![log_record(1, first), log_record(2, "bad")];
@@ -155,13 +162,13 @@
 }
 
 #[test]
-fn accepted_document_that_cannot_be_checked_is_held_back() {
+fn accepted_document_that_is_invalid_is_held_back() {
     let first = ConfigurationRecord::initial(RawDocument::default()).encode();
     let later = r#"{"format":1,"kind":"edit","edit_id":"a","author":"a","built_by":"9.0.0",
         "changes":[{"section":"quotas/new","base_revision":0,"value":{}}]}"#;
-    let mend = r#"{"format":1,"kind":"edit","edit_id":"b","author":"a","built_by":"9.0.0",
+    let repair = r#"{"format":1,"kind":"edit","edit_id":"b","author":"a","built_by":"9.0.0",
         "changes":[{"section":"quotas/new","base_revision":2}]}"#;
-    let records = vec![log_record(1, first), log_record(2, later), log_record(3, mend)];
+    let records = vec![log_record(1, first), log_record(2, later), log_record(3, repair)];
     let mut follower = ConfigurationFollower::default();
     follower.apply(page(&records, 1, 1, 2));
     assert_eq!(follower.document_in_force().offset, 1);
--- a/tests/configuration/main.rs
+++ b/tests/configuration/main.rs
@@ -1,4 +1,4 @@
-//! Configuration: document, fold of the stream, editors and decoders.
+//! Tests of the configuration: document, fold of the stream, edits, decoders and administration.
 
 #![allow(clippy::unwrap_used)]
 
--- a/tests/configuration/metrics.rs
+++ b/tests/configuration/metrics.rs
@@ -1,4 +1,4 @@
-//! Metrics and log lines keep their form, and the operators' page names every metric.
+//! The format of log lines is stable, and the operators' page describes every metric.
 
 use coriandertide::logging::{Quoted, format_line};
 use coriandertide::metrics::{Metrics, encode};
--- a/tests/configuration/nodes.rs
+++ b/tests/configuration/nodes.rs
@@ -1,4 +1,5 @@
-//! Edits through the administration API of running nodes, while the log fails.
+//! Edits through the administration API of running nodes, also while the log fails or has lost its
+//! records.
 
 use coriandertide::admin::messages::{
     DocumentReply, EditReply, ErrorBody, HistoryReply, NodesReply, RestoreRequest, StatusReply,
@@ -16,9 +17,9 @@
 use serde_json::{Value, json};
 use std::time::{Duration, Instant};
 
-const WAIT: Duration = Duration::from_secs(20);
-const BOOTSTRAP: &str = "bootstrap-key";
-const TEAM: &str = "team-key";
+const TIMEOUT: Duration = Duration::from_secs(20);
+const BOOTSTRAP_KEY: &str = "bootstrap-key";
+const TEAM_KEY: &str = "team-key";
 
 struct Site {
     log: LogServiceStandIn,
@@ -48,7 +49,7 @@
                 "instance_list": self.list.address().to_string(),
             },
             "partner_key": "a key for tests only",
-            "bootstrap_key_hash": hash_key(BOOTSTRAP),
+            "bootstrap_key_hash": hash_key(BOOTSTRAP_KEY),
             "control": { "log_period_ms": 20, "instance_list_period_ms": 50, "snapshot_period_ms": 200 },
             "limits": { "drain_grace_ms": 1 },
         }))
@@ -82,50 +83,50 @@
 }
 
 fn wait_in_force(node: &Node, key: &str, revision: u64) {
-    let deadline = Instant::now() + WAIT;
+    let deadline = Instant::now() + TIMEOUT;
     loop {
         let status: Result<StatusReply, _> =
             smol::block_on(client(node, key).get("/admin/v1/status"));
         if status.is_ok_and(|status| status.in_force >= revision) {
             return;
         }
-        assert!(Instant::now() < deadline, "revision {revision} did not come into force");
+        assert!(Instant::now() < deadline, "revision {revision} is not in force");
         std::thread::sleep(Duration::from_millis(5));
     }
 }
 
 fn owners() -> Value {
-    json!({ "key_hashes": [hash_key(BOOTSTRAP)], "role": "administrator" })
+    json!({ "key_hashes": [hash_key(BOOTSTRAP_KEY)], "role": "administrator" })
 }
 
-/// Waits until the node has read the empty stream.
+/// Waits until the node has read the empty stream and answers requests.
 fn wait_ready(node: &Node) {
-    let deadline = Instant::now() + WAIT;
-    while smol::block_on(client(node, BOOTSTRAP).get::<DocumentReply>("/admin/v1/document"))
+    let deadline = Instant::now() + TIMEOUT;
+    while smol::block_on(client(node, BOOTSTRAP_KEY).get::<DocumentReply>("/admin/v1/document"))
         .is_err()
     {
-        assert!(Instant::now() < deadline, "the node did not read the stream");
+        assert!(Instant::now() < deadline, "the node has not read the stream");
         std::thread::sleep(Duration::from_millis(5));
     }
 }
 
 #[test]
-fn edits_take_effect_on_all_nodes_and_losers_learn_who_won() {
+fn edits_take_effect_on_all_nodes_and_conflicts_name_the_winner() {
     let site = Site::start();
     let nodes: Vec<Node> = (0..3).map(|_| site.start_node()).collect();
     wait_ready(&nodes[0]);
-    let admin = client(&nodes[0], BOOTSTRAP);
+    let admin = client(&nodes[0], BOOTSTRAP_KEY);
     edit(&admin, &request("e1", "owners/operations", 0, owners())).unwrap();
-    let team = json!({ "key_hashes": [hash_key(TEAM)], "role": "editor",
+    let team = json!({ "key_hashes": [hash_key(TEAM_KEY)], "role": "editor",
         "sections": ["workspaces/survey"] });
     let revision = edit(&admin, &request("e2", "owners/survey", 0, team)).unwrap().revision;
-    nodes.iter().for_each(|node| wait_in_force(node, BOOTSTRAP, revision));
+    nodes.iter().for_each(|node| wait_in_force(node, BOOTSTRAP_KEY, revision));
 
     let survey = json!({ "requests_per_s": 5 });
     let first = request("e3", "workspaces/survey", 0, survey.clone());
-    let accepted = edit(&client(&nodes[1], TEAM), &first).unwrap();
-    nodes.iter().for_each(|node| wait_in_force(node, BOOTSTRAP, accepted.revision));
-    assert_eq!(edit(&client(&nodes[2], TEAM), &first).unwrap(), accepted);
+    let accepted = edit(&client(&nodes[1], TEAM_KEY), &first).unwrap();
+    nodes.iter().for_each(|node| wait_in_force(node, BOOTSTRAP_KEY, accepted.revision));
+    assert_eq!(edit(&client(&nodes[2], TEAM_KEY), &first).unwrap(), accepted);
 
     let late = edit(&admin, &request("e4", "workspaces/survey", 0, json!({}))).unwrap_err();
     assert_eq!(late.code, "outdated");
@@ -133,7 +134,7 @@
     assert_eq!((winner.author.as_str(), winner.edit_id.as_deref()), ("survey", Some("e3")));
     assert_eq!(late.current, Some(survey));
 
-    let team = client(&nodes[0], TEAM);
+    let team = client(&nodes[0], TEAM_KEY);
     let code = |request| edit(&team, &request).unwrap_err().code;
     assert_eq!(code(request("e5", "workspaces/other", 0, json!({}))), "forbidden");
     let bad = request("e6", "workspaces/survey", accepted.revision, json!({ "tokens_per_s": 0 }));
@@ -151,7 +152,7 @@
     let site = Site::start();
     let node = site.start_node();
     wait_ready(&node);
-    let admin = client(&node, BOOTSTRAP);
+    let admin = client(&node, BOOTSTRAP_KEY);
     site.log.set_faults(LogFaults { lose_append_answers: true, ..LogFaults::default() });
     let first = request("e1", "owners/operations", 0, owners());
     let accepted = edit(&admin, &first).unwrap();
@@ -160,23 +161,25 @@
     let refused = edit(&admin, &second).unwrap_err();
     assert!(matches!(refused.code.as_str(), "log_unavailable" | "outcome_unknown"));
     site.log.set_faults(LogFaults::default());
-    let made = edit(&admin, &second).unwrap();
-    assert!(made.revision > accepted.revision);
+    let reply = edit(&admin, &second).unwrap();
+    assert!(reply.revision > accepted.revision);
     let history: HistoryReply = smol::block_on(admin.get("/admin/v1/history")).unwrap();
     assert_eq!(history.edits.len(), 2);
     node.kill();
 }
 
-fn wait_until(what: &str, mut holds: impl FnMut() -> bool) {
-    let deadline = Instant::now() + WAIT;
-    while !holds() {
-        assert!(Instant::now() < deadline, "waited in vain: {what}");
+fn wait_until(what: &str, mut condition: impl FnMut() -> bool) {
+    let deadline = Instant::now() + TIMEOUT;
+    while !condition() {
+        assert!(Instant::now() < deadline, "timed out waiting for: {what}");
         std::thread::sleep(Duration::from_millis(5));
     }
 }
 
+/// Returns how many nodes report this revision as in force.
 fn nodes_in_force(node: &Node, revision: u64) -> usize {
-    let reply: NodesReply = smol::block_on(client(node, BOOTSTRAP).get("/admin/v1/nodes")).unwrap();
+    let reply: NodesReply =
+        smol::block_on(client(node, BOOTSTRAP_KEY).get("/admin/v1/nodes")).unwrap();
     reply.nodes.iter().filter(|node| node.in_force == Some(revision)).count()
 }
 
@@ -185,12 +188,12 @@
     let site = Site::start();
     let first = site.start_node();
     wait_ready(&first);
-    let made = edit(&client(&first, BOOTSTRAP), &request("e1", "owners/team", 0, owners()));
-    let revision = made.unwrap().revision;
+    let reply = edit(&client(&first, BOOTSTRAP_KEY), &request("e1", "owners/team", 0, owners()));
+    let revision = reply.unwrap().revision;
     site.log.set_faults(LogFaults { outage: true, ..LogFaults::default() });
     let second = site.start_node();
-    wait_in_force(&second, BOOTSTRAP, revision);
-    wait_until("both in force", || nodes_in_force(&first, revision) == 2);
+    wait_in_force(&second, BOOTSTRAP_KEY, revision);
+    wait_until("the revision in force on both nodes", || nodes_in_force(&first, revision) == 2);
     first.kill();
     second.kill();
 }
@@ -201,12 +204,12 @@
     let site = Site::with_retention(RETENTION_MS);
     let node = site.start_node();
     wait_ready(&node);
-    let made = edit(&client(&node, BOOTSTRAP), &request("e1", "owners/team", 0, owners()));
-    let revision = made.unwrap().revision;
+    let reply = edit(&client(&node, BOOTSTRAP_KEY), &request("e1", "owners/team", 0, owners()));
+    let revision = reply.unwrap().revision;
     std::thread::sleep(Duration::from_millis(2 * RETENTION_MS));
     node.kill();
     let restarted = site.start_node();
-    wait_in_force(&restarted, BOOTSTRAP, revision);
+    wait_in_force(&restarted, BOOTSTRAP_KEY, revision);
     assert_eq!(restarted.document_revision(), revision);
     restarted.kill();
 }
@@ -220,18 +223,18 @@
     }
     std::thread::sleep(Duration::from_millis(2 * RETENTION_MS));
     let node = site.start_node();
-    let admin = client(&node, BOOTSTRAP);
+    let admin = client(&node, BOOTSTRAP_KEY);
     let request = RestoreRequest { document: json!({ "owners": { "team": owners() } }) };
     let mut restored: Result<EditReply, ClientError> = Err(ClientError::Refused(Box::default()));
-    wait_until("restored", || {
+    wait_until("the restored document", || {
         restored = smol::block_on(admin.post("/admin/v1/restore", &request));
         restored.is_ok()
     });
-    wait_in_force(&node, BOOTSTRAP, 3);
+    wait_in_force(&node, BOOTSTRAP_KEY, 3);
     let again: Result<EditReply, ClientError> =
         smol::block_on(admin.post("/admin/v1/restore", &request));
     assert!(matches!(again, Err(ClientError::Refused(body)) if body.code == "not_expired"));
-    let made = edit(&admin, &self::request("e1", "models/guide", 0, json!({}))).unwrap();
-    assert!(made.revision > 3);
+    let reply = edit(&admin, &self::request("e1", "models/guide", 0, json!({}))).unwrap();
+    assert!(reply.revision > 3);
     node.kill();
 }
--- a/tests/configuration/schema.rs
+++ b/tests/configuration/schema.rs
@@ -1,4 +1,4 @@
-//! The committed JSON schemas match the types. `COT_UPDATE_SCHEMAS=1` rewrites them.
+//! The committed JSON schemas match the types; `COT_UPDATE_SCHEMAS=1` rewrites them.
 
 use coriandertide::document::RawDocument;
 use coriandertide::settings::RawSettings;
