--- a/src/decision/configuration/follower.rs
+++ b/src/decision/configuration/follower.rs
@@ -104,7 +104,7 @@
     malformed_records: VecDeque<MalformedRecord>,
     base_appended_at: Option<SystemTime>,
     /// Last offset of the stream at the latest read.
-    stream_end: Option<LogOffset>,
+    last_stream_offset: Option<LogOffset>,
 }
 
 impl ConfigurationFollower {
@@ -153,7 +153,7 @@
     /// Returns the last offset of the stream if its first records have expired and the rest holds
     /// no base.
     pub fn expired_to(&self) -> Option<LogOffset> {
-        self.stream_end.filter(|_| self.state.is_none())
+        self.last_stream_offset.filter(|_| self.state.is_none())
     }
 
     /// Returns when the latest record that is a base was appended, by the log's clock.
@@ -169,7 +169,7 @@
     /// Returns the announcement to send to partners.
     pub fn announcement(&self) -> ConfigurationAnnouncement {
         ConfigurationAnnouncement {
-            offset: self.applied(),
+            offset: self.applied_offset(),
             in_force: self.in_force.document.offset,
         }
     }
@@ -177,7 +177,7 @@
     /// Returns the offset from which to read the log next.
     pub fn next_read_offset(&self) -> LogOffset {
         let last_buffered = self.buffered.keys().next_back().copied().unwrap_or(0);
-        last_buffered.max(self.applied()) + 1
+        last_buffered.max(self.applied_offset()) + 1
     }
 
     /// Returns the copy to send to partners, or none while there is no base.
@@ -187,17 +187,17 @@
         Some(ConfigurationCopy { format: super::RECORD_FORMAT, state, last_good })
     }
 
-    fn applied(&self) -> LogOffset {
+    fn applied_offset(&self) -> LogOffset {
         self.state.as_ref().map_or(0, |state| state.applied)
     }
 
     fn buffer_page(&mut self, page: LogPage, commands: &mut Vec<ConfigurationCommand>) {
-        let is_complete = page.first_offset <= 1;
-        if self.state.is_none() && is_complete {
+        let has_stream_start = page.first_offset <= 1;
+        if self.state.is_none() && has_stream_start {
             self.state = Some(Arc::default());
         }
-        self.stream_end = Some(page.next_offset.saturating_sub(1));
-        let applied = self.applied();
+        self.last_stream_offset = Some(page.next_offset.saturating_sub(1));
+        let applied = self.applied_offset();
         for record in page.records {
             if record.offset > applied {
                 self.adopt_snapshot(&record, commands);
@@ -212,7 +212,7 @@
     /// Adopts the state of a snapshot if records before it have not been read.
     fn adopt_snapshot(&mut self, record: &LogRecord, commands: &mut Vec<ConfigurationCommand>) {
         self.fold_buffered(commands);
-        if record.offset == self.applied() + 1 && self.state.is_some() {
+        if record.offset == self.applied_offset() + 1 && self.state.is_some() {
             return;
         }
         let Ok(ConfigurationRecord::Snapshot(snapshot)) =
@@ -303,9 +303,9 @@
         if !self.in_force.needs_validation(state) {
             return;
         }
-        let partner_state = self.partner_last_good.take();
+        let last_good = self.partner_last_good.take();
         let fallbacks =
-            std::iter::once_with(|| folded_records.earlier_states()).flatten().chain(partner_state);
+            std::iter::once_with(|| folded_records.earlier_states()).flatten().chain(last_good);
         self.in_force.update(state, fallbacks, commands);
     }
 }
--- a/src/decision/configuration/prepare.rs
+++ b/src/decision/configuration/prepare.rs
@@ -25,7 +25,7 @@
 /// Reason for refusing an edit before it is appended.
 #[derive(Clone, Debug, PartialEq)]
 pub enum EditRefusal {
-    /// The edit has no id or no change, or changes a section twice.
+    /// The edit has no id or no changes, names a malformed section, or changes a section twice.
     Malformed(&'static str),
     /// The author is not allowed to edit this section.
     NotOwner(SectionPath),
--- a/src/decision/membership/mod.rs
+++ b/src/decision/membership/mod.rs
@@ -27,7 +27,9 @@
     local: MemberRecord,
     members: Members,
     links: BTreeMap<InstanceId, Link>,
+    /// Dial backoffs of addresses without a link.
     backoffs: BTreeMap<SocketAddr, DialBackoff>,
+    /// Partner listeners on the instance list, dialed to find members.
     seeds: Vec<SocketAddr>,
     /// Index in `seeds` of the next address to consider for a dial.
     next_seed: usize,
@@ -39,7 +41,7 @@
 struct Link {
     /// Whether this node dialed the peer.
     dialed: bool,
-    /// When the link is closed unless another message is received.
+    /// When the link is closed unless a message is received before.
     receive_deadline: Instant,
     /// When the link is closed as surplus; set while this node dialed it but the peer is neither a
     /// selected partner nor the tree parent.
@@ -183,6 +185,7 @@
         commands.push(self.full_sync(&peer.instance));
     }
 
+    /// Returns the command that sends all records to a peer.
     fn full_sync(&self, to: &InstanceId) -> MembershipCommand {
         let records = self.members.records().chain([&self.local]).cloned().collect();
         MembershipCommand::SendRecords { to: to.clone(), records }
@@ -218,6 +221,7 @@
         self.backoffs.get(&address).is_none_or(|backoff| backoff.next_dial_at <= now)
     }
 
+    /// Marks the member at an address that could not be dialed as suspect, unless it has a link.
     fn mark_suspect(
         &mut self,
         address: SocketAddr,
@@ -292,6 +296,7 @@
         }
     }
 
+    /// Sends records to all linked peers except `source`.
     fn flood(
         &self,
         source: Option<&InstanceId>,
@@ -407,6 +412,7 @@
         }
     }
 
+    /// Announces that this node left and closes all links.
     fn leave(&mut self, commands: &mut Vec<MembershipCommand>) {
         self.local.status = MemberStatus::Left;
         self.flood(None, std::slice::from_ref(&self.local), commands);
