--- a/tests/configuration/fold.rs
+++ b/tests/configuration/fold.rs
@@ -61,7 +61,7 @@
             Step::Malformed(bytes) => bytes.into(),
         };
         records.push(log_record(offset, payload));
-        naive.fold(offset, &records.last().unwrap().payload);
+        naive.fold_record(offset, &records.last().unwrap().payload);
         follower.apply(page(&records, 1, offset, offset));
         sections_after.push(naive.sections());
     }
--- a/tests/configuration/naive.rs
+++ b/tests/configuration/naive.rs
@@ -24,7 +24,7 @@
 
 impl NaiveFold {
     /// Folds the next record of the stream.
-    pub fn fold(&mut self, offset: u64, payload: &[u8]) {
+    pub fn fold_record(&mut self, offset: u64, payload: &[u8]) {
         match ConfigurationRecord::decode(payload) {
             Ok(ConfigurationRecord::Initial(initial)) if self.accepted.is_empty() => {
                 for (section, value) in initial.sections {
