--- a/src/decision/placement/messages.rs
+++ b/src/decision/placement/messages.rs
@@ -1,4 +1,4 @@
-//! Events and commands of the placement decision.
+//! Events and commands of placement.
 
 use crate::decision::leases::HeldLease;
 use crate::document::Document;
@@ -10,12 +10,12 @@
 use std::time::Instant;
 use strum::{Display, IntoStaticStr};
 
-/// Event that changes the placement state.
+/// Input of [`PlacementState`](super::PlacementState).
 #[derive(Clone, Debug)]
 pub enum PlacementEvent {
     /// The document in force changed.
     Document(Arc<Document>),
-    /// Servers that must get no new work.
+    /// The set of servers that are leaving and must get no new requests changed.
     LeavingServers(BTreeSet<ServerId>),
     /// The number of live nodes, this one included, changed.
     LiveNodes(u32),
@@ -23,7 +23,7 @@
     AnswerCompleted {
         /// Model.
         model: ModelId,
-        /// Prompt tokens that the server computed.
+        /// Prompt tokens that the server prefilled.
         computed_tokens: u32,
         /// Milliseconds from the first token to the last.
         decode_ms: u64,
@@ -34,10 +34,10 @@
         server: ServerId,
         /// Report.
         report: LoadReport,
-        /// When the node asked for the report.
+        /// When the report was requested.
         polled_at: Instant,
     },
-    /// A server did not answer.
+    /// A server did not answer a poll.
     PollFailed {
         /// Server.
         server: ServerId,
@@ -48,25 +48,25 @@
         server: ServerId,
         /// Fencing number of the order.
         fencing_number: u64,
-        /// Answer.
+        /// Outcome that the server reported.
         outcome: OrderOutcome,
     },
-    /// Time passed; the lease under which orders may be given, if this node holds it.
+    /// Periodic call, with the placement lease if this node holds it.
     Tick(Option<HeldLease>),
 }
 
-/// Command of the placement decision.
+/// Output of [`PlacementState`](super::PlacementState) to be carried out.
 #[derive(Clone, Debug, PartialEq)]
 pub enum PlacementCommand {
-    /// Ask a server for its load report.
+    /// Request the load report of a server.
     Poll {
         /// Server.
         server: ServerId,
         /// Its address.
         address: SocketAddr,
     },
-    /// Give an order, after checking once more that the lease with the order's fencing number is
-    /// held.
+    /// Send an order to a server, after checking again that the lease with the order's fencing
+    /// number is held.
     Order {
         /// Server.
         server: ServerId,
@@ -74,7 +74,7 @@
         address: SocketAddr,
         /// Order.
         order: EngineOrder,
-        /// Reason, for the log line.
+        /// Reason, for logs and metrics.
         reason: PlacementReason,
     },
 }
@@ -83,24 +83,24 @@
 #[derive(Clone, Copy, Debug, Display, Eq, IntoStaticStr, Ord, PartialEq, PartialOrd)]
 #[strum(serialize_all = "snake_case")]
 pub enum PlacementReason {
-    /// Fewer servers than the document asks for serve the model.
+    /// The model has fewer servers than the document requires.
     LeastServers,
     /// The server serves another version of the weights or other adapters.
     WeightsVersion,
-    /// The model's servers are busy.
+    /// Demand calls for more servers of the model.
     Demand,
-    /// The document no longer names the model.
+    /// The document no longer contains the model.
     Retired,
 }
 
-/// Order that the plan calls for.
+/// Order to be sent to a server, with the reason.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PlannedOrder {
     /// Server.
     pub server: ServerId,
-    /// Models that it is to serve.
+    /// All models that it is to serve.
     pub models: Vec<LoadedModel>,
-    /// Model for which the order is given.
+    /// Model that the order adds, updates or removes.
     pub model: ModelId,
     /// Reason.
     pub reason: PlacementReason,
--- a/src/decision/placement/mod.rs
+++ b/src/decision/placement/mod.rs
@@ -1,9 +1,9 @@
-//! Placement: which models are served by which servers.
+//! Placement: which servers load which models.
 //!
-//! The holder of the lease [`crate::decision::leases::LeaseKind::Placement`] gives the orders.
-//! Orders state the whole set of models of a server. A server that ignores fencing numbers gets
-//! an order only after the wait that the lease asks for and after its state was read since, and
-//! its state is read again afterwards.
+//! Only the holder of the lease [`crate::decision::leases::LeaseKind::Placement`] sends orders. An
+//! order contains the whole set of models of a server. A server that ignores fencing numbers gets
+//! orders only once those of the previous lease holder can no longer arrive and a load report has
+//! been requested since; it is polled again after each order.
 
 pub mod demand;
 pub mod messages;
@@ -23,35 +23,36 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// Failed readings in a row after which a server counts as out of service.
-const UNREACHABLE_READS: u32 = 3;
+/// Consecutive failed polls after which a server counts as out of service.
+const UNREACHABLE_AFTER_FAILED_POLLS: u32 = 3;
 
-/// Report of a server.
+/// Last load report of a server.
 #[derive(Clone, Debug)]
-struct ReadReport {
+struct LastReport {
     models: Vec<LoadedModel>,
     is_loading: bool,
     is_leaving: bool,
     polled_at: Instant,
 }
 
-/// Order that does not show in the server's report yet.
+/// Order that the server's load reports do not show as fulfilled yet.
 #[derive(Clone, Debug)]
-struct OpenOrder {
+struct PendingOrder {
     models: Vec<LoadedModel>,
     sent_at: Instant,
     repeat_at: Instant,
 }
 
+/// What this node knows of a server of the document.
 #[derive(Clone, Debug, Default)]
-struct KnownServer {
-    report: Option<ReadReport>,
-    order: Option<OpenOrder>,
-    read_at: Option<Instant>,
-    failed_reads: u32,
+struct ServerState {
+    report: Option<LastReport>,
+    pending_order: Option<PendingOrder>,
+    next_poll_at: Option<Instant>,
+    failed_polls: u32,
 }
 
-/// State behind placement; every node keeps it, the lease holder acts on it.
+/// State of placement on one node. Every node updates it; only the lease holder sends orders.
 #[derive(Clone, Debug)]
 pub struct PlacementState {
     settings: PlacementSettings,
@@ -59,9 +60,11 @@
     leaving: BTreeSet<ServerId>,
     live_nodes: u32,
     demand: Demand,
-    servers: BTreeMap<ServerId, KnownServer>,
-    fenced_number: LogOffset,
-    acting_under: Option<LogOffset>,
+    servers: BTreeMap<ServerId, ServerState>,
+    /// Highest fencing number among the orders of this node that servers rejected as outdated.
+    max_fenced_number: LogOffset,
+    /// Fencing number of the lease for which orders are pending.
+    active_fencing_number: Option<LogOffset>,
 }
 
 impl PlacementState {
@@ -74,12 +77,12 @@
             live_nodes: 1,
             demand: Demand::new(settings),
             servers: BTreeMap::new(),
-            fenced_number: 0,
-            acting_under: None,
+            max_fenced_number: 0,
+            active_fencing_number: None,
         }
     }
 
-    /// Applies `event` and returns what to do.
+    /// Applies `event` and returns the commands to carry out.
     pub fn apply(&mut self, event: PlacementEvent, now: Instant) -> Vec<PlacementCommand> {
         match event {
             PlacementEvent::Document(document) => self.set_document(document),
@@ -89,20 +92,20 @@
                 self.demand.add(&self.document, &model, computed_tokens, decode_ms, now);
             }
             PlacementEvent::Report { server, report, polled_at } => {
-                self.read_report(&server, report, polled_at);
+                self.apply_report(&server, report, polled_at);
             }
             PlacementEvent::PollFailed { server } => {
-                if let Some(known) = self.servers.get_mut(&server) {
-                    known.failed_reads += 1;
+                if let Some(state) = self.servers.get_mut(&server) {
+                    state.failed_polls += 1;
                 }
             }
             PlacementEvent::OrderAnswered {
                 fencing_number, outcome: OrderOutcome::Fenced, ..
             } => {
-                self.fenced_number = self.fenced_number.max(fencing_number);
+                self.max_fenced_number = self.max_fenced_number.max(fencing_number);
             }
             PlacementEvent::OrderAnswered { .. } => {}
-            PlacementEvent::Tick(held) => return self.tick(held, now),
+            PlacementEvent::Tick(lease) => return self.tick(lease, now),
         }
         Vec::new()
     }
@@ -115,19 +118,19 @@
         self.document = document;
     }
 
-    fn read_report(&mut self, server: &ServerId, report: LoadReport, polled_at: Instant) {
-        let Some(known) = self.servers.get_mut(server) else { return };
-        if known.report.as_ref().is_some_and(|last| polled_at < last.polled_at) {
+    fn apply_report(&mut self, server: &ServerId, report: LoadReport, polled_at: Instant) {
+        let Some(state) = self.servers.get_mut(server) else { return };
+        if state.report.as_ref().is_some_and(|last| polled_at < last.polled_at) {
             return;
         }
-        let settled = |order: &mut OpenOrder| {
+        let is_fulfilled = |order: &mut PendingOrder| {
             polled_at > order.sent_at
                 && report.loading.is_empty()
                 && same_models(&report.models, &order.models)
         };
-        known.order.take_if(settled);
-        known.failed_reads = 0;
-        known.report = Some(ReadReport {
+        state.pending_order.take_if(is_fulfilled);
+        state.failed_polls = 0;
+        state.report = Some(LastReport {
             is_loading: !report.loading.is_empty(),
             is_leaving: report.leaving,
             models: report.models,
@@ -135,91 +138,92 @@
         });
     }
 
-    fn tick(&mut self, held: Option<HeldLease>, now: Instant) -> Vec<PlacementCommand> {
-        let held = held.filter(|held| held.fencing_number > self.fenced_number);
-        let number = held.map(|held| held.fencing_number);
-        if self.acting_under != number {
-            self.acting_under = number;
-            self.servers.values_mut().for_each(|known| known.order = None);
+    fn tick(&mut self, lease: Option<HeldLease>, now: Instant) -> Vec<PlacementCommand> {
+        let lease = lease.filter(|lease| lease.fencing_number > self.max_fenced_number);
+        let fencing_number = lease.map(|lease| lease.fencing_number);
+        if self.active_fencing_number != fencing_number {
+            self.active_fencing_number = fencing_number;
+            self.servers.values_mut().for_each(|state| state.pending_order = None);
         }
-        let Some(held) = held else { return Vec::new() };
-        for known in self.servers.values_mut() {
-            known.order.take_if(|order| now >= order.repeat_at);
+        let Some(lease) = lease else { return Vec::new() };
+        for state in self.servers.values_mut() {
+            state.pending_order.take_if(|order| now >= order.repeat_at);
         }
-        let mut commands = self.orders(held, now);
-        commands.extend(self.reads(now));
+        let mut commands = self.plan_orders(lease, now);
+        commands.extend(self.poll_due_servers(now));
         commands
     }
 
-    fn orders(&mut self, held: HeldLease, now: Instant) -> Vec<PlacementCommand> {
-        let wanted = self.demand.wanted_servers(&self.document, self.live_nodes, now);
+    fn plan_orders(&mut self, lease: HeldLease, now: Instant) -> Vec<PlacementCommand> {
+        let target_servers = self.demand.target_servers(&self.document, self.live_nodes, now);
         let servers = self
             .document
             .servers
             .iter()
-            .map(|(name, server)| (name.clone(), self.view(name, server, held, now)))
+            .map(|(name, server)| (name.clone(), self.server_view(name, server, lease, now)))
             .collect();
-        let loading = self.servers.values().filter(|known| known.is_loading()).count();
-        let free_loads = self.settings.max_concurrent_loads.saturating_sub(loading);
-        if !self.servers.values().all(KnownServer::is_known) {
+        let loading = self.servers.values().filter(|state| state.is_loading()).count();
+        let remaining_loads = self.settings.max_concurrent_loads.saturating_sub(loading);
+        if !self.servers.values().all(ServerState::is_known) {
             return Vec::new();
         }
-        let planned = next_orders(&self.document, servers, &wanted, free_loads);
-        planned.into_iter().filter_map(|planned| self.open_order(planned, held, now)).collect()
+        let planned = next_orders(&self.document, servers, &target_servers, remaining_loads);
+        planned.into_iter().filter_map(|planned| self.issue_order(planned, lease, now)).collect()
     }
 
-    fn view(
+    fn server_view(
         &self,
         name: &ServerId,
         server: &BackendServer,
-        held: HeldLease,
+        lease: HeldLease,
         now: Instant,
     ) -> ServerView {
-        let Some(known) = self.servers.get(name) else { return out_of_service() };
-        let Some(report) = &known.report else { return out_of_service() };
+        let Some(state) = self.servers.get(name) else { return out_of_service() };
+        let Some(report) = &state.report else { return out_of_service() };
         let may_order_unfenced =
-            now >= held.unfenced_orders_from && report.polled_at >= held.unfenced_orders_from;
-        let may_order = !known.is_loading() && (server.checks_fencing || may_order_unfenced);
-        let models = known.order.as_ref().map_or(&report.models, |order| &order.models);
+            now >= lease.unfenced_orders_from && report.polled_at >= lease.unfenced_orders_from;
+        let may_order = !state.is_loading() && (server.checks_fencing || may_order_unfenced);
+        let models = state.pending_order.as_ref().map_or(&report.models, |order| &order.models);
         ServerView {
             models: models.clone(),
             may_order,
-            is_in_service: !known.is_unreachable()
+            is_in_service: !state.is_unreachable()
                 && !report.is_leaving
                 && !self.leaving.contains(name),
         }
     }
 
-    fn open_order(
+    fn issue_order(
         &mut self,
         planned: PlannedOrder,
-        held: HeldLease,
+        lease: HeldLease,
         now: Instant,
     ) -> Option<PlacementCommand> {
         let address = self.document.servers.get(&planned.server)?.address;
-        let known = self.servers.get_mut(&planned.server)?;
-        known.order = Some(OpenOrder {
+        let state = self.servers.get_mut(&planned.server)?;
+        state.pending_order = Some(PendingOrder {
             models: planned.models.clone(),
             sent_at: now,
             repeat_at: now + Duration::from_millis(self.settings.order_timeout_ms),
         });
-        known.read_at = Some(now);
+        state.next_poll_at = Some(now);
         let kind = EngineOrderKind::ServeModels { models: planned.models };
         Some(PlacementCommand::Order {
             server: planned.server,
             address,
-            order: EngineOrder { fencing_number: held.fencing_number, kind },
+            order: EngineOrder { fencing_number: lease.fencing_number, kind },
             reason: planned.reason,
         })
     }
 
-    /// Reads reports that are due: at each tick of servers with an open order, otherwise seldom.
-    fn reads(&mut self, now: Instant) -> Vec<PlacementCommand> {
+    /// Polls the servers that are due: loading ones first and at each tick, the others once in each
+    /// poll period.
+    fn poll_due_servers(&mut self, now: Instant) -> Vec<PlacementCommand> {
         let mut due: Vec<(bool, Option<Instant>, &ServerId)> = self
             .servers
             .iter()
-            .filter(|(_, known)| known.read_at.is_none_or(|read_at| now >= read_at))
-            .map(|(name, known)| (!known.is_loading(), known.read_at, name))
+            .filter(|(_, state)| state.next_poll_at.is_none_or(|next_poll_at| now >= next_poll_at))
+            .map(|(name, state)| (!state.is_loading(), state.next_poll_at, name))
             .collect();
         due.sort();
         let due: Vec<ServerId> = due
@@ -227,34 +231,34 @@
             .take(self.settings.max_polls_per_tick)
             .map(|(_, _, name)| name.clone())
             .collect();
-        due.into_iter().filter_map(|server| self.read(server, now)).collect()
+        due.into_iter().filter_map(|server| self.poll_server(server, now)).collect()
     }
 
-    fn read(&mut self, server: ServerId, now: Instant) -> Option<PlacementCommand> {
+    fn poll_server(&mut self, server: ServerId, now: Instant) -> Option<PlacementCommand> {
         let address = self.document.servers.get(&server)?.address;
-        let known = self.servers.get_mut(&server)?;
-        let poll_period_ms = if known.is_loading() || known.report.is_none() {
+        let state = self.servers.get_mut(&server)?;
+        let poll_period_ms = if state.is_loading() || state.report.is_none() {
             0
         } else {
             self.settings.poll_period_ms
         };
-        known.read_at = Some(now + Duration::from_millis(poll_period_ms));
+        state.next_poll_at = Some(now + Duration::from_millis(poll_period_ms));
         Some(PlacementCommand::Poll { server, address })
     }
 }
 
-impl KnownServer {
-    /// Whether the server has reported, or cannot.
+impl ServerState {
+    /// Whether the server has reported or is known to be unreachable.
     fn is_known(&self) -> bool {
         self.report.is_some() || self.is_unreachable()
     }
 
     fn is_unreachable(&self) -> bool {
-        self.failed_reads >= UNREACHABLE_READS
+        self.failed_polls >= UNREACHABLE_AFTER_FAILED_POLLS
     }
 
     fn is_loading(&self) -> bool {
-        self.order.is_some() || self.report.as_ref().is_some_and(|report| report.is_loading)
+        self.pending_order.is_some() || self.report.as_ref().is_some_and(|report| report.is_loading)
     }
 }
 
--- a/src/decision/placement/settings.rs
+++ b/src/decision/placement/settings.rs
@@ -1,32 +1,32 @@
-//! Settings of placement.
+//! Limits and timing of placement.
 
 use serde::{Deserialize, Serialize};
 
-/// Settings of placement.
+/// Limits and timing of placement.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct PlacementSettings {
-    /// Servers that may load weights at once.
+    /// Maximum number of servers that load weights at the same time.
     #[serde(rename = "loads_at_once")]
     pub max_concurrent_loads: usize,
-    /// Part of a server's time that its model may be busy before another server is added.
+    /// Busy fraction of a model's servers above which it gets another one.
     #[serde(rename = "highest_busy")]
     pub scale_up_busy_fraction: f64,
-    /// Part of its servers' time below which a model would be busy with one server fewer before
-    /// that server may be used for another model.
+    /// Busy fraction that a model's servers must not exceed with one server fewer, for that server
+    /// to be freed.
     #[serde(rename = "lowest_busy")]
     pub scale_down_busy_fraction: f64,
-    /// Milliseconds for which demand must stay low before a server is given up.
+    /// Milliseconds for which demand must stay low before a server is freed.
     #[serde(rename = "lower_after_ms")]
     pub scale_down_after_ms: u64,
-    /// Milliseconds after which half of a measured demand is forgotten.
+    /// Milliseconds after which past demand counts half.
     pub demand_half_life_ms: u64,
-    /// Milliseconds after which an order that did not show in the server's report is repeated.
+    /// Milliseconds after which an order that no load report shows as fulfilled is planned anew.
     pub order_timeout_ms: u64,
-    /// Milliseconds between readings of a server's report while nothing is ordered of it.
+    /// Milliseconds between polls of a server that is not loading.
     #[serde(rename = "read_ms")]
     pub poll_period_ms: u64,
-    /// Reports read at most in one tick.
+    /// Maximum number of servers polled in one tick.
     #[serde(rename = "reads_per_tick")]
     pub max_polls_per_tick: usize,
 }
