--- a/src/decision/power/ended_instances.rs
+++ b/src/decision/power/ended_instances.rs
@@ -1,9 +1,9 @@
-//! Instances that are known to have ended, and whether their work has ended too.
+//! Instances whose process has ended, and whether their requests have ended too.
 //!
 //! An instance keeps its partner listener open for as long as it runs. If its address refuses
-//! connections, or if this node could bind it, the process has ended: it starts nothing more. What
-//! it had started ends at its time limit, or has ended on a server that has since reported that it
-//! runs nothing.
+//! connections, or if this node could bind it, the process has ended and starts no more requests.
+//! Those that it had started end at their deadline at the latest, and have ended on a server that
+//! has since reported to be idle.
 
 use super::ledger::ShareEntry;
 use super::settings::PowerSettings;
@@ -13,78 +13,82 @@
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
-/// What is known of the end of an instance.
+/// Probe state of one instance.
 #[derive(Clone, Copy, Debug, Default)]
 struct InstanceEnd {
-    proven_at: Option<Instant>,
-    probe_at: Option<Instant>,
+    /// Time by which the process had ended, if known.
+    ended_by: Option<Instant>,
+    next_probe_at: Option<Instant>,
 }
 
-/// Instances that are known to have ended.
+/// Tracks which instances have ended and which servers have been idle since.
 #[derive(Clone, Debug)]
 pub struct EndedInstances {
     settings: PowerSettings,
     instances: BTreeMap<InstanceId, InstanceEnd>,
-    /// Servers of the document, with the latest time at which an idle report was asked for.
-    idle_asked_at: BTreeMap<ServerId, Option<Instant>>,
+    /// Servers that have been in the document, with the latest time at which a load report that
+    /// showed the server idle was requested.
+    idle_polled_at: BTreeMap<ServerId, Option<Instant>>,
 }
 
 impl EndedInstances {
-    /// Returns the state before any event.
+    /// Returns a tracker without instances and servers.
     pub fn new(settings: PowerSettings) -> Self {
-        Self { settings, instances: BTreeMap::new(), idle_asked_at: BTreeMap::new() }
+        Self { settings, instances: BTreeMap::new(), idle_polled_at: BTreeMap::new() }
     }
 
-    /// Takes in the servers of the document; work on a server that it no longer names may go on.
+    /// Adds the servers of the document. Earlier servers stay, since they may still run requests.
     pub fn set_document(&mut self, document: &Document) {
         for server in document.servers.keys() {
-            self.idle_asked_at.entry(server.clone()).or_default();
+            self.idle_polled_at.entry(server.clone()).or_default();
         }
     }
 
-    /// Takes in that `instance` had ended by `proven_at`.
-    pub fn add_proof(&mut self, instance: InstanceId, proven_at: Instant) {
-        self.instances.entry(instance).or_default().proven_at.get_or_insert(proven_at);
+    /// Records that the process of `instance` had ended by `ended_by`.
+    pub fn mark_ended(&mut self, instance: InstanceId, ended_by: Instant) {
+        self.instances.entry(instance).or_default().ended_by.get_or_insert(ended_by);
     }
 
-    /// Takes in a sign of life.
-    pub fn clear_proof(&mut self, instance: &InstanceId) {
+    /// Discards any evidence that `instance` has ended, because it sent a message.
+    pub fn mark_alive(&mut self, instance: &InstanceId) {
         self.instances.remove(instance);
     }
 
-    /// Takes in a report without running or waiting requests.
-    pub fn add_idle(&mut self, server: ServerId, polled_at: Instant) {
-        let latest = self.idle_asked_at.entry(server).or_default();
+    /// Records that a load report requested at `polled_at` showed `server` idle.
+    pub fn record_idle(&mut self, server: ServerId, polled_at: Instant) {
+        let latest = self.idle_polled_at.entry(server).or_default();
         *latest = (*latest).max(Some(polled_at));
     }
 
-    /// Whether a probe of `instance` is due; postpones the next one.
-    pub fn take_probe(&mut self, instance: &InstanceId, now: Instant) -> bool {
+    /// Returns whether a probe of `instance` is due and, if so, schedules the next one.
+    pub fn take_probe_due(&mut self, instance: &InstanceId, now: Instant) -> bool {
         let end = self.instances.entry(instance.clone()).or_default();
-        if end.proven_at.is_some() || end.probe_at.is_some_and(|at| now < at) {
+        if end.ended_by.is_some() || end.next_probe_at.is_some_and(|at| now < at) {
             return false;
         }
-        end.probe_at = Some(now + Duration::from_millis(self.settings.probe_ms));
+        end.next_probe_at = Some(now + Duration::from_millis(self.settings.probe_ms));
         true
     }
 
-    /// Forgets instances that `is_known` does not hold for.
+    /// Removes the instances for which `is_known` returns false.
     pub fn retain(&mut self, is_known: impl Fn(&InstanceId) -> bool) {
         self.instances.retain(|instance, _| is_known(instance));
     }
 
-    /// Whether nothing that the holder of `entry` started or granted can run any more.
+    /// Whether no request that the holder of `entry` started or granted power for can still run.
     pub fn has_work_ended(&self, entry: &ShareEntry, now: Instant) -> bool {
         let end = self.instances.get(&entry.instance);
-        let Some(proven_at) = end.and_then(|end| end.proven_at) else { return false };
+        let Some(ended_by) = end.and_then(|end| end.ended_by) else { return false };
         let limit = Duration::from_millis(entry.outlast_ms + self.settings.transit_ms);
-        now >= proven_at + limit + drift_margin(entry.outlast_ms) || self.is_idle_since(proven_at)
+        now >= ended_by + limit + drift_margin(entry.outlast_ms)
+            || self.are_servers_idle_after(ended_by)
     }
 
-    fn is_idle_since(&self, proven_at: Instant) -> bool {
-        let idle_proof_ms = self.settings.idle_proof_ms();
-        let earliest =
-            proven_at + Duration::from_millis(idle_proof_ms) + drift_margin(idle_proof_ms);
-        self.idle_asked_at.values().all(|polled_at| polled_at.is_some_and(|at| at >= earliest))
+    fn are_servers_idle_after(&self, ended_by: Instant) -> bool {
+        let idle_proof_delay_ms = self.settings.idle_proof_delay_ms();
+        let earliest = ended_by
+            + Duration::from_millis(idle_proof_delay_ms)
+            + drift_margin(idle_proof_delay_ms);
+        self.idle_polled_at.values().all(|polled_at| polled_at.is_some_and(|at| at >= earliest))
     }
 }
--- a/src/decision/power/ledger.rs
+++ b/src/decision/power/ledger.rs
@@ -1,4 +1,4 @@
-//! Fold of the stream `power`: the same shares for every reader, never more than the whole.
+//! Fold of the stream `power` into the shares of all instances, the same for every reader.
 
 use super::messages::{ShareAction, ShareRecord, TOTAL_PARTS};
 use crate::decision::leases::stream::{FoldStep, StreamReader, StreamRecord};
@@ -13,42 +13,42 @@
 /// Record on the stream `power`.
 pub type ShareStreamRecord = StreamRecord<ShareRecord, ShareEntry>;
 
-/// Share of an instance.
+/// Share of one instance.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct ShareEntry {
     /// Instance.
     pub instance: InstanceId,
-    /// Offset of the last record in force.
+    /// Offset of the last accepted record.
     pub offset: LogOffset,
-    /// Parts held.
+    /// Size of the share in parts.
     pub parts: u64,
-    /// Milliseconds that the share lasts.
+    /// Milliseconds after which the share expires unless it is renewed.
     pub lease_ms: u64,
-    /// Longest time in milliseconds for which its work or grants can go on after it has ended.
+    /// Maximum time in milliseconds for which its requests or grants can outlast its process.
     pub outlast_ms: u64,
-    /// Address that the instance listens on.
+    /// Address that the instance listens on for as long as it runs.
     pub address: SmolStr,
 }
 
-/// Share as this node read it.
+/// Share with its expiry on this node's clock.
 #[derive(Clone, Debug)]
 pub struct TimedEntry {
     /// Share.
     pub entry: ShareEntry,
-    /// When nobody can use the share any more.
+    /// From when no request can use the share any more.
     pub expires_at: Instant,
 }
 
-/// Share record as read, and whether it counts.
+/// Share record that was folded.
 #[derive(Clone, Debug)]
 pub struct FoldedRecord {
     /// Record.
     pub record: ShareRecord,
-    /// Whether the record changed the ledger.
-    pub counts: bool,
+    /// Whether the record changed the ledger; otherwise it was rejected.
+    pub is_accepted: bool,
 }
 
-/// All shares as read from the log.
+/// Shares of all instances according to the log; they never exceed [`TOTAL_PARTS`] together.
 #[derive(Clone, Debug)]
 pub struct ShareLedger {
     entries: BTreeMap<InstanceId, TimedEntry>,
@@ -57,79 +57,79 @@
 }
 
 impl ShareLedger {
-    /// Returns the ledger of a reader that has read nothing, of shares that last `lease_ms` at
-    /// most and that work may outlast by `transit_ms`.
+    /// Returns an empty ledger for shares with lease periods of up to `lease_ms`, which requests
+    /// may outlast by `transit_ms`.
     pub fn new(instance: &InstanceId, lease_ms: u64, transit_ms: u64) -> Self {
         let reader = StreamReader::new(instance, lease_ms + transit_ms);
         Self { entries: BTreeMap::new(), reader, transit_ms }
     }
 
-    /// Takes in that shares may last `lease_ms`.
+    /// Allows shares with lease periods of up to `lease_ms`; a lower value changes nothing.
     pub fn raise_max_lease(&mut self, lease_ms: u64) {
         self.reader.allow_lapse(lease_ms + self.transit_ms);
     }
 
-    /// Returns the offset to read from.
+    /// Returns the offset to read the log from.
     pub fn next_offset(&self) -> LogOffset {
         self.reader.next_offset()
     }
 
     /// Returns the share of `instance`.
     pub fn entry(&self, instance: &InstanceId) -> Option<&ShareEntry> {
-        self.entries.get(instance).map(|read| &read.entry)
+        self.entries.get(instance).map(|timed| &timed.entry)
     }
 
-    /// Returns the offset of the last record in force of `instance`, 0 if none.
+    /// Returns the offset of the last accepted record of `instance`, 0 if it has no share.
     pub fn offset(&self, instance: &InstanceId) -> LogOffset {
         self.entry(instance).map_or(0, |entry| entry.offset)
     }
 
-    /// Returns the shares in the order of their instances.
+    /// Returns the shares, ordered by instance.
     pub fn entries(&self) -> impl Iterator<Item = &TimedEntry> {
         self.entries.values()
     }
 
-    /// Returns the parts that nobody holds, or none while that is unknown.
+    /// Returns the parts that no share contains, or `None` until the log has been read far enough.
     pub fn free_parts(&self) -> Option<u64> {
         self.reader.is_current().then(|| TOTAL_PARTS.saturating_sub(self.held_parts()))
     }
 
-    /// Returns a checkpoint or reset to append, if one is due.
+    /// Returns a checkpoint or reset to append if one is due, and schedules the next one.
     pub fn take_due_maintenance(&mut self, now: Instant) -> Option<ShareStreamRecord> {
         if self.reader.take_reset_due(now) {
             return Some(StreamRecord::Reset);
         }
         self.reader.take_checkpoint_due(now).then(|| StreamRecord::Checkpoint {
             as_of: self.next_offset() - 1,
-            entries: self.entries.values().map(|read| read.entry.clone()).collect(),
+            entries: self.entries.values().map(|timed| timed.entry.clone()).collect(),
         })
     }
 
-    /// Folds a page that was asked for from offset `from`; returns the records read.
+    /// Folds a page that was requested from offset `from`; returns its share records.
     pub fn fold_page(
         &mut self,
         page: &LogPage,
         from: LogOffset,
         now: Instant,
     ) -> Vec<FoldedRecord> {
-        let mut read = Vec::new();
+        let mut folded = Vec::new();
         for step in self.reader.read(page, from, now) {
             match step {
-                FoldStep::Install(entries) => self.install(entries, now),
+                FoldStep::Install(entries) => self.replace_entries(entries, now),
                 FoldStep::Apply { offset, record } => {
-                    let counts = self.apply(&record, offset, now);
-                    read.push(FoldedRecord { record, counts });
+                    let is_accepted = self.apply_change(&record, offset, now);
+                    folded.push(FoldedRecord { record, is_accepted });
                 }
             }
         }
-        read
+        folded
     }
 
     fn held_parts(&self) -> u64 {
-        self.entries.values().map(|read| read.entry.parts).sum()
+        self.entries.values().map(|timed| timed.entry.parts).sum()
     }
 
-    fn install(&mut self, entries: Vec<ShareEntry>, now: Instant) {
+    fn replace_entries(&mut self, entries: Vec<ShareEntry>, now: Instant) {
         self.entries.clear();
         entries.into_iter().for_each(|entry| self.insert(entry, now));
     }
@@ -140,7 +140,7 @@
         self.entries.insert(entry.instance.clone(), TimedEntry { entry, expires_at });
     }
 
-    fn apply(&mut self, record: &ShareRecord, offset: LogOffset, now: Instant) -> bool {
+    fn apply_change(&mut self, record: &ShareRecord, offset: LogOffset, now: Instant) -> bool {
         if record.replaces != self.offset(&record.instance) {
             return false;
         }
@@ -148,8 +148,8 @@
             self.entries.remove(&record.instance);
             return true;
         };
-        let own_parts = self.entry(&record.instance).map_or(0, |entry| entry.parts);
-        let other_parts = self.held_parts() - own_parts;
+        let previous_parts = self.entry(&record.instance).map_or(0, |entry| entry.parts);
+        let other_parts = self.held_parts() - previous_parts;
         if other_parts.checked_add(*parts).is_none_or(|sum| sum > TOTAL_PARTS) {
             return false;
         }
--- a/src/decision/power/messages.rs
+++ b/src/decision/power/messages.rs
@@ -1,4 +1,4 @@
-//! Records, messages, events and commands of the power decision.
+//! Records, messages, events and commands of power allocation.
 
 use super::ledger::ShareStreamRecord;
 use crate::document::Document;
@@ -10,80 +10,81 @@
 use std::time::Instant;
 use strum::{Display, IntoStaticStr};
 
-/// Parts into which the site's power above idle is divided.
+/// Number of parts into which the site's power above idle is divided.
 pub const TOTAL_PARTS: u64 = 1_000_000_000;
 
-/// Change on the stream `power`.
+/// Record on the stream `power` that changes the share of one instance.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct ShareRecord {
-    /// Instance whose share the record sets.
+    /// Instance whose share the record changes.
     pub instance: InstanceId,
-    /// Number of the attempt within its author; a repeated append has the same number.
+    /// Number of the change, unique within its author; a repeated append has the same number.
     pub attempt: u64,
-    /// Offset of the record of this instance that this one replaces, 0 if none; the record counts
-    /// only if that is still the last one in force.
+    /// Offset of the accepted record of this instance that this one replaces, 0 if none; the
+    /// record is rejected if another one has been accepted since.
     pub replaces: LogOffset,
-    /// What the record does.
+    /// Change to the share.
     pub action: ShareAction,
 }
 
-/// Action of a share record.
+/// Change to a share.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(tag = "action", rename_all = "snake_case")]
 pub enum ShareAction {
-    /// Takes, renews or changes the share; counts only if all shares together fit.
+    /// Creates, renews or resizes the share; rejected if all shares would exceed [`TOTAL_PARTS`].
     Hold {
-        /// Parts held.
+        /// Size of the share in parts.
         parts: u64,
-        /// Milliseconds that the share lasts.
+        /// Milliseconds after which the share expires unless it is renewed.
         lease_ms: u64,
-        /// Longest time in milliseconds for which work or grants of the instance can go on after it
-        /// has ended.
+        /// Maximum time in milliseconds for which requests or grants of the instance can outlast
+        /// its process.
         outlast_ms: u64,
         /// Address that the instance listens on for as long as it runs.
         address: SmolStr,
     },
-    /// Gives the share up; appended by its holder, or by anyone once its deadline is past.
+    /// Removes the share; appended by its holder, or by any node once the share has expired or
+    /// nothing can use it any more.
     Release,
 }
 
-/// Message between partners.
+/// Message between partners that transfers power.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(tag = "kind", rename_all = "snake_case")]
 pub enum PowerMessage {
-    /// The sender lacks power.
+    /// The sender requests power.
     Ask {
-        /// Number of the ask within the sender.
+        /// Number of the ask, unique within the sender.
         ask: u64,
-        /// Parts wanted.
+        /// Parts requested.
         parts: u64,
-        /// Milliseconds from the sending of the ask for which they are needed.
+        /// Milliseconds for which they are needed, counted from when the ask was sent.
         needed_ms: u64,
-        /// Grants of the receiver, for earlier asks, that the sender still holds. It will never
-        /// use another one: a grant that was lost comes back by this.
+        /// Grants of the receiver, for earlier asks, that the sender still holds. The receiver can
+        /// reclaim any other, such as a grant whose message was lost: the sender never uses it.
         held_grants: Vec<u64>,
     },
-    /// The sender has given up parts in favour of the receiver.
+    /// The sender lends parts of its share to the receiver.
     Grant {
-        /// Instance that asked.
+        /// Instance that sent the ask.
         asker: InstanceId,
-        /// Number of the ask that is answered.
+        /// Number of the ask that this answers.
         ask: u64,
-        /// Number of the grant within the sender.
+        /// Number of the grant, unique within the sender.
         grant: u64,
         /// Parts granted.
         parts: u64,
-        /// Milliseconds, counted by the receiver from the sending of its ask.
+        /// Milliseconds for which the grant is valid, counted from when the ask was sent.
         valid_ms: u64,
     },
-    /// The sender has given a grant back.
+    /// The sender returns a grant before it expires.
     Return {
-        /// Number of the grant within the receiver.
+        /// Number of the grant, unique within the receiver.
         grant: u64,
     },
 }
 
-/// Event that changes the power state.
+/// Input of [`PowerState`](super::PowerState).
 #[derive(Clone, Debug)]
 pub enum PowerEvent {
     /// The document in force changed.
@@ -92,7 +93,7 @@
     Page {
         /// Page.
         page: LogPage,
-        /// Offset that was asked for.
+        /// Offset from which the page was requested.
         from: LogOffset,
     },
     /// A partner sent a message.
@@ -102,89 +103,89 @@
         /// Message.
         message: PowerMessage,
     },
-    /// Partners with which a link is open, and the estimate of live nodes, this one included.
+    /// The set of partners with an open link or the number of live nodes changed.
     Membership {
         /// Partners.
         partners: Vec<InstanceId>,
-        /// Live nodes.
+        /// Estimated number of live nodes, this one included.
         live_nodes: u32,
     },
-    /// A partner gave a sign of life.
+    /// A message of any kind was received from a partner.
     PartnerContact(InstanceId),
-    /// The address of an instance refuses connections: its process has ended.
+    /// The address of an instance refuses connections, so its process has ended.
     InstanceEnded(InstanceId),
-    /// A server reported that it runs no request and none waits.
+    /// A server reported no running and no waiting requests.
     ServerIdle {
         /// Server.
         server: ServerId,
-        /// When the report was asked for.
+        /// When the report was requested.
         polled_at: Instant,
     },
-    /// Time passed.
+    /// Periodic call.
     Tick,
-    /// The node stops gracefully: no work runs any more, the share is released.
+    /// The node stops gracefully and releases what it does not use of its share.
     Stop,
 }
 
-/// Command of the power decision.
+/// Output of [`PowerState`](super::PowerState) to be carried out.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum PowerCommand {
     /// Append the record to the stream `power`.
     Append(ShareStreamRecord),
-    /// Send a message to a partner.
+    /// Send the message to a partner.
     Send {
         /// Receiver.
         to: InstanceId,
         /// Message.
         message: PowerMessage,
     },
-    /// Find out whether the address of an instance refuses connections.
+    /// Check whether the address of an instance refuses connections.
     Probe {
         /// Instance.
         instance: InstanceId,
         /// Address that it listens on for as long as it runs.
         address: SmolStr,
     },
-    /// Cancel running requests on their backend servers, lowest priority first.
+    /// Cancel the running requests on their backend servers; ordered by priority, lowest first.
     Shed(Vec<RequestId>),
 }
 
-/// Start of a request on a backend server.
+/// Power needed to start a request on a backend server.
 #[derive(Clone, Debug)]
 pub struct PowerRequest {
-    /// Request.
+    /// Request to start.
     pub request: RequestId,
     /// Server that will run it.
     pub server: ServerId,
     /// Priority.
     pub priority: Priority,
-    /// When the server will stop the request at the latest.
+    /// Deadline that the server enforces on the request.
     pub work_deadline: Instant,
 }
 
-/// Answer to the start of a request.
+/// Answer to a [`PowerRequest`].
 #[derive(Clone, Copy, Debug, Display, Eq, IntoStaticStr, PartialEq)]
 #[strum(serialize_all = "snake_case")]
 pub enum PowerAnswer {
-    /// The watts are committed until the request is finished.
+    /// The watts are committed until [`PowerAccount::finish`](super::PowerAccount::finish).
     Started,
-    /// The node's allowance does not cover the request now.
+    /// The power available to the node does not cover the request now.
     Lacking,
-    /// The whole site's budget does not cover the request, or the server is unknown.
+    /// The request exceeds the whole site's budget or already runs, or the server is unknown.
     Impossible,
 }
 
-/// Power figures of a node, for metrics.
+/// Allocation and usage of a node's power, for metrics.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct PowerStats {
     /// Watts that the node may commit.
     pub allowed_watts: u64,
     /// Watts committed to running requests.
     pub committed_watts: u64,
-    /// Watts given to partners.
+    /// Watts granted to partners.
     pub given_watts: u64,
-    /// Watts received from partners.
+    /// Watts granted by partners.
     pub received_watts: u64,
-    /// Parts held on the log.
+    /// Parts of the node's share, including those granted to partners.
     pub held_parts: u64,
 }
--- a/src/decision/power/mod.rs
+++ b/src/decision/power/mod.rs
@@ -1,18 +1,19 @@
-//! Power: how many watts each node may commit, so that the site never draws more than the budget.
+//! Power allocation: how many watts each node may commit, so that the site stays within its budget.
 //!
-//! The power above idle is divided into [`TOTAL_PARTS`]. Shares of it are records on the stream
-//! `power`, folded by log order into a [`ledger::ShareLedger`] that never holds more than the
-//! whole. A node's watts are its parts of the budget in its own document, so a changed budget
-//! needs no agreement: the nodes together never draw more than the largest budget in force
-//! anywhere. Parts that a node does not use move to partners by [`transfers`].
+//! The power above idle is divided into [`TOTAL_PARTS`] parts. Each node's share is a record on the
+//! stream `power`; [`ledger::ShareLedger`] folds the records and rejects any that would allocate
+//! more than all parts. A node converts its parts to watts with the budget of its own document, so
+//! a change of the budget needs no agreement: together the nodes never draw more than the largest
+//! budget in force on any node. Nodes lend parts that they don't use to partners, see
+//! [`transfers`].
 
 pub mod account;
 pub mod account_state;
-pub mod ended;
-mod holding;
+pub mod ended_instances;
 pub mod ledger;
 pub mod messages;
-mod reclaim;
+mod own_share;
+mod release;
 pub mod settings;
 pub mod transfers;
 
@@ -26,36 +27,37 @@
 
 use crate::ports::LogPage;
 use crate::types::{InstanceId, LogOffset};
-use account_state::watts_of_parts;
-use ended::EndedInstances;
+use account_state::parts_to_watts;
+use ended_instances::EndedInstances;
 use ledger::{FoldedRecord, ShareEntry, ShareLedger};
 use smol_str::SmolStr;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 use transfers::Transfers;
 
-/// Milliseconds after its start from which a node trusts the number of live nodes it sees.
-const COUNT_NODES_MS: u64 = 1_500;
-/// Requests whose power a node without a share asks for before it has any.
-const FIRST_ASK_REQUESTS: u64 = 4;
+/// Milliseconds after the start of a node for which it ignores its count of live nodes, since links
+/// are still opening.
+const NODE_COUNT_DELAY_MS: u64 = 1_500;
+/// Number of requests for which a node without a share asks power before any has arrived.
+const INITIAL_ASK_REQUESTS: u64 = 4;
 
-/// Share that this node holds.
+/// Share that this node holds and the time at which it expires.
 #[derive(Clone, Copy, Debug)]
 struct HeldShare {
     parts: u64,
     deadline: Instant,
 }
 
-/// Append that has not been read back yet.
+/// Appended record that has not been read back from the log yet.
 #[derive(Clone, Debug)]
-struct PendingShare {
+struct PendingAppend {
     record: ShareRecord,
     first_sent_at: Instant,
     repeat_at: Instant,
 }
 
-impl PendingShare {
-    /// Parts of the share if the append counts.
+impl PendingAppend {
+    /// Parts of the share if the record is accepted.
     fn parts(&self) -> u64 {
         match &self.record.action {
             ShareAction::Hold { parts, .. } => *parts,
@@ -64,7 +66,7 @@
     }
 }
 
-/// Power of one node; owned by the control thread.
+/// Power allocation of one node; owned by the control thread.
 #[derive(Debug)]
 pub struct PowerState {
     instance: InstanceId,
@@ -73,24 +75,24 @@
     started_at: Instant,
     account: Arc<PowerAccount>,
     ledger: ShareLedger,
-    held: Option<HeldShare>,
-    pending: Option<PendingShare>,
+    held_share: Option<HeldShare>,
+    pending_append: Option<PendingAppend>,
     renew_at: Instant,
     adjust_at: Instant,
-    reclaim_at: Instant,
+    next_release_at: Instant,
     last_attempt: u64,
     live_nodes: Option<u32>,
     max_nodes: u32,
-    counts_nodes_at: Instant,
-    has_asked_first: bool,
+    node_count_valid_at: Instant,
+    has_sent_initial_ask: bool,
     transfers: Transfers,
-    ended: EndedInstances,
+    ended_instances: EndedInstances,
     is_stopping: bool,
 }
 
 impl PowerState {
-    /// Returns the state of a node that starts at `now` and listens on `address` for as long as it
-    /// runs, so that no other process listens there meanwhile.
+    /// Returns the state of a node that starts at `now`. It must listen on `address` for as long as
+    /// it runs: other nodes conclude from a refused connection that it has ended.
     pub fn new(
         instance: InstanceId,
         address: SmolStr,
@@ -101,57 +103,59 @@
         Self {
             transfers: Transfers::new(instance.clone(), settings, Arc::clone(&account)),
             ledger: ShareLedger::new(&instance, settings.lease_ms, settings.transit_ms),
-            ended: EndedInstances::new(settings),
+            ended_instances: EndedInstances::new(settings),
             instance,
             address,
             settings,
             started_at: now,
             account,
-            held: None,
-            pending: None,
+            held_share: None,
+            pending_append: None,
             renew_at: now,
             adjust_at: now,
-            reclaim_at: now,
+            next_release_at: now,
             last_attempt: 0,
             live_nodes: None,
             max_nodes: 1,
-            counts_nodes_at: now + Duration::from_millis(COUNT_NODES_MS),
-            has_asked_first: false,
+            node_count_valid_at: now + Duration::from_millis(NODE_COUNT_DELAY_MS),
+            has_sent_initial_ask: false,
             is_stopping: false,
         }
     }
 
-    /// Applies `event` and returns what to do.
+    /// Applies `event` and returns the commands to carry out.
     pub fn apply(&mut self, event: PowerEvent, now: Instant) -> Vec<PowerCommand> {
         let mut commands = Vec::new();
         match event {
             PowerEvent::Document(document) => {
                 self.max_nodes = document.site.max_nodes.max(1);
-                self.set_lease(document.site.power_lease_ms);
+                self.set_lease_period(document.site.power_lease_ms);
                 self.account.set_document(&document);
-                self.ended.set_document(&document);
-                commands = self.ask_first(now);
+                self.ended_instances.set_document(&document);
+                commands = self.send_initial_ask(now);
+            }
+            PowerEvent::Page { page, from } => self.fold_page(&page, from, now),
+            PowerEvent::Message { from, message } => {
+                commands = self.receive_message(&from, &message, now)
             }
-            PowerEvent::Page { page, from } => self.read_page(&page, from, now),
-            PowerEvent::Message { from, message } => commands = self.receive(&from, &message, now),
             PowerEvent::Membership { partners, live_nodes } => {
                 self.transfers.set_partners(partners);
                 self.live_nodes = Some(live_nodes);
-                commands = self.ask_first(now);
+                commands = self.send_initial_ask(now);
             }
             PowerEvent::PartnerContact(instance) => {
-                self.ended.clear_proof(&instance);
-                self.transfers.hear(&instance, now);
+                self.ended_instances.mark_alive(&instance);
+                self.transfers.record_contact(&instance, now);
             }
-            PowerEvent::InstanceEnded(instance) => self.ended.add_proof(instance, now),
+            PowerEvent::InstanceEnded(instance) => self.ended_instances.mark_ended(instance, now),
             PowerEvent::ServerIdle { server, polled_at } => {
-                self.ended.add_idle(server, polled_at);
+                self.ended_instances.record_idle(server, polled_at);
             }
             PowerEvent::Tick => commands = self.tick(now),
             PowerEvent::Stop => commands = self.stop(now),
         }
-        self.refresh_share();
-        let shed = self.account.take_shed(now);
+        self.update_share_source();
+        let shed = self.account.take_requests_to_shed(now);
         if !shed.is_empty() {
             commands.push(PowerCommand::Shed(shed));
         }
@@ -163,44 +167,44 @@
         self.ledger.next_offset()
     }
 
-    /// Returns the share of `instance` as read from the log.
+    /// Returns the share of `instance` according to the log.
     pub fn share(&self, instance: &InstanceId) -> Option<&ShareEntry> {
         self.ledger.entry(instance)
     }
 
-    /// Returns the node's figures at `now`.
+    /// Returns the node's allocation and usage at `now`.
     pub fn stats(&self, now: Instant) -> PowerStats {
         let shared_watts = self.account.shared_watts();
-        let held = self.held.filter(|held| now < held.deadline);
+        let held = self.held_share.filter(|held| now < held.deadline);
         PowerStats {
             allowed_watts: self.account.allowed_watts(now),
             committed_watts: self.account.committed_watts(),
-            given_watts: watts_of_parts(self.transfers.given_parts(), shared_watts),
-            received_watts: watts_of_parts(self.transfers.received_parts(now), shared_watts),
+            given_watts: parts_to_watts(self.transfers.given_parts(), shared_watts),
+            received_watts: parts_to_watts(self.transfers.received_parts(now), shared_watts),
             held_parts: held.map_or(0, |held| held.parts),
         }
     }
 
-    /// Sets how long the shares that this node takes from now on last.
-    fn set_lease(&mut self, lease_ms: u64) {
+    /// Sets the lease period of the shares that this node appends from now on.
+    fn set_lease_period(&mut self, lease_ms: u64) {
         self.settings.lease_ms = lease_ms;
         self.ledger.raise_max_lease(lease_ms);
     }
 
-    /// Asks for power as soon as a node without a share has partners, so that its first request
-    /// need not wait for an ask.
-    fn ask_first(&mut self, now: Instant) -> Vec<PowerCommand> {
+    /// Asks partners for power as soon as there are any, if this node has no share yet, so that its
+    /// first request need not wait for a grant.
+    fn send_initial_ask(&mut self, now: Instant) -> Vec<PowerCommand> {
         let is_ready = self.transfers.has_partners() && self.account.shared_watts() > 0;
-        if self.held.is_some() || self.has_asked_first || !is_ready {
+        if self.held_share.is_some() || self.has_sent_initial_ask || !is_ready {
             return Vec::new();
         }
-        self.has_asked_first = true;
+        self.has_sent_initial_ask = true;
         let work_limit = Duration::from_millis(self.settings.work_limit_ms);
-        self.account.add_lack(FIRST_ASK_REQUESTS, now + work_limit);
+        self.account.add_deficit(INITIAL_ASK_REQUESTS, now + work_limit);
         self.transfers.tick(now)
     }
 
-    fn receive(
+    fn receive_message(
         &mut self,
         from: &InstanceId,
         message: &PowerMessage,
@@ -211,12 +215,12 @@
                 self.transfers.receive_grant(from, message, now).into_iter().collect()
             }
             PowerMessage::Return { grant } => {
-                self.transfers.regain(*grant);
+                self.transfers.receive_return(*grant);
                 Vec::new()
             }
             PowerMessage::Ask { ask, held_grants, .. } => {
-                self.transfers.regain_unheld(from, *ask, held_grants);
-                self.refresh_share();
+                self.transfers.reclaim_unheld(from, *ask, held_grants);
+                self.update_share_source();
                 self.answer_ask(from, message, now)
             }
         }
@@ -228,39 +232,39 @@
         message: &PowerMessage,
         now: Instant,
     ) -> Vec<PowerCommand> {
-        let mut commands = self.transfers.return_unneeded(now);
-        if let Some(held) = self.held.filter(|_| !self.is_stopping) {
+        let mut commands = self.transfers.return_all_unneeded(now);
+        if let Some(held) = self.held_share.filter(|_| !self.is_stopping) {
             let grant = self.transfers.answer_ask(from, message, held.deadline, now);
-            self.refresh_share();
+            self.update_share_source();
             commands.extend(grant);
         }
         commands
     }
 
-    fn read_page(&mut self, page: &LogPage, from: LogOffset, now: Instant) {
-        for FoldedRecord { record, counts } in self.ledger.fold_page(page, from, now) {
+    fn fold_page(&mut self, page: &LogPage, from: LogOffset, now: Instant) {
+        for FoldedRecord { record, is_accepted } in self.ledger.fold_page(page, from, now) {
             if record.instance == self.instance {
-                self.confirm(&record, counts);
+                self.apply_own_record(&record, is_accepted);
             }
         }
     }
 
-    fn confirm(&mut self, record: &ShareRecord, counts: bool) {
-        let pending = self.pending.take_if(|pending| pending.record == *record);
-        if !counts {
+    fn apply_own_record(&mut self, record: &ShareRecord, is_accepted: bool) {
+        let pending = self.pending_append.take_if(|pending| pending.record == *record);
+        if !is_accepted {
             return;
         }
         let ShareAction::Hold { parts, lease_ms, .. } = record.action else {
-            self.held = None;
+            self.held_share = None;
             return;
         };
         match pending {
             Some(pending) => {
                 let deadline = pending.first_sent_at + Duration::from_millis(lease_ms);
-                self.held = Some(HeldShare { parts, deadline });
+                self.held_share = Some(HeldShare { parts, deadline });
             }
             None => {
-                if let Some(held) = &mut self.held {
+                if let Some(held) = &mut self.held_share {
                     held.parts = held.parts.min(parts);
                 }
             }
--- a/src/decision/power/settings.rs
+++ b/src/decision/power/settings.rs
@@ -1,55 +1,56 @@
-//! Settings of power shares and transfers.
+//! Timing of power shares and transfers.
 
 use serde::{Deserialize, Serialize};
 
-/// Milliseconds by which a grant is rounded up.
+/// Milliseconds added to the validity of a grant when it is rounded up.
 const GRANT_ROUNDING_MS: u64 = 1;
 
-/// Settings of power shares and transfers.
+/// Timing of power shares and transfers.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct PowerSettings {
-    /// Milliseconds that a share lasts: the longest log outage that passes unnoticed, plus the
-    /// longest request.
+    /// Milliseconds after which a share expires unless it is renewed: the longest log outage to
+    /// bridge, plus the longest request.
     pub lease_ms: u64,
-    /// Milliseconds after an append at which a share is renewed.
+    /// Milliseconds after which a share is renewed.
     pub renew_ms: u64,
-    /// Milliseconds after which an append that was not read back is repeated.
+    /// Milliseconds after which an append that was not read back from the log is repeated.
     pub repeat_ms: u64,
-    /// Longest time in milliseconds from the start of a request to its deadline.
+    /// Maximum time in milliseconds from the start of a request to its deadline.
     pub work_limit_ms: u64,
-    /// Longest time in milliseconds by which a server may end a request after its deadline,
-    /// because the request was under way.
+    /// Maximum time in milliseconds that a request takes to reach its server, by which the server
+    /// may run it beyond its deadline.
     pub transit_ms: u64,
-    /// Milliseconds between asks while power is lacking; an ask is answered within it or not at
-    /// all.
+    /// Milliseconds between asks while power is lacking; grants that answer an ask later are
+    /// returned.
     #[serde(rename = "ask_ms")]
     pub ask_period_ms: u64,
-    /// Milliseconds beyond the request that lacked power for which a grant is asked, so that later
-    /// requests can use it too.
+    /// Milliseconds by which the requested validity of a grant exceeds the request that lacked
+    /// power, so that later requests can use the grant too.
     pub grant_reuse_ms: u64,
-    /// Milliseconds after the last message of a giver from which its grants cover no new work.
+    /// Milliseconds after the last contact with a giver from which its grants cover no new
+    /// requests.
     #[serde(rename = "heard_ms")]
     pub contact_timeout_ms: u64,
-    /// Longest time in milliseconds by which a server's load report lags.
+    /// Maximum age in milliseconds of the state that a server's load report shows.
     pub report_lag_ms: u64,
     /// Milliseconds between probes of an instance that has a share and no link to this node.
     pub probe_ms: u64,
-    /// Milliseconds for which an unused grant is kept.
+    /// Milliseconds after which an unused grant is returned.
     pub grant_idle_ms: u64,
 }
 
 impl PowerSettings {
-    /// Returns the longest time in milliseconds for which work or grants of an instance can go on
-    /// after the instance has ended.
+    /// Returns the maximum time in milliseconds for which requests or grants of an instance can
+    /// outlast its process.
     pub fn outlast_ms(&self) -> u64 {
         self.work_limit_ms + self.grant_reuse_ms + GRANT_ROUNDING_MS
     }
 
-    /// Returns the time in milliseconds after an instance has ended from which a load report
-    /// without requests shows that its work has ended on that server too: no grant of it covers
-    /// new work, nothing is under way, and the report does not show an earlier state.
-    pub fn idle_proof_ms(&self) -> u64 {
+    /// Returns the milliseconds after the end of an instance from which an idle load report proves
+    /// that the server runs none of its requests: by then its grants cover no new requests, none is
+    /// in transit, and the report does not show an earlier state.
+    pub fn idle_proof_delay_ms(&self) -> u64 {
         let last_grant_ms = self.transit_ms.max(self.ask_period_ms);
         last_grant_ms + self.contact_timeout_ms + self.transit_ms + self.report_lag_ms
     }
--- a/src/decision/power/transfers.rs
+++ b/src/decision/power/transfers.rs
@@ -1,10 +1,11 @@
 //! Transfers of parts between partners.
 //!
-//! The giver gives up before it sends; the receiver counts the grant's validity from the sending
-//! of its ask, which is earlier than anything the giver counts from. A lost message wastes parts
-//! until the giver regains them, and never doubles them.
+//! A node that lacks power sends asks to partners, which answer with grants from their own shares.
+//! The giver stops using the parts before it sends the grant, and the receiver counts the validity
+//! of the grant from when it sent the ask, which is before the giver starts counting. So a lost
+//! message leaves parts unused until the grant expires, and never lets two nodes use them.
 
-use super::account::{PowerAccount, PowerLack, PowerSource, SourceId};
+use super::account::{PowerAccount, PowerDeficit, PowerSource, SourceId};
 use super::messages::{PowerCommand, PowerMessage, TOTAL_PARTS};
 use super::settings::PowerSettings;
 use crate::decision::leases::tenure::drift_margin;
@@ -13,12 +14,12 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// Partners asked at once.
-const ASKED_PARTNERS: usize = 8;
-/// Factor by which an ask grows over the last one while power is still lacking.
-const ASK_GROWTH: u64 = 8;
+/// Maximum number of partners that one ask is sent to.
+const MAX_ASKED_PARTNERS: usize = 8;
+/// Factor by which the parts of each ask grow while power is still lacking.
+const ASK_GROWTH_FACTOR: u64 = 8;
 
-/// Id of a grant: numbers are unique within the giver.
+/// Identifies a grant; numbers are unique within the giver.
 #[derive(Clone, Debug, Eq, Ord, PartialEq, PartialOrd)]
 struct GrantId {
     giver: InstanceId,
@@ -26,28 +27,31 @@
 }
 
 impl GrantId {
-    fn source(&self) -> SourceId {
+    fn source_id(&self) -> SourceId {
         SourceId::Grant { giver: self.giver.clone(), grant: self.grant }
     }
 }
 
+/// Ask that still accepts grants.
 #[derive(Clone, Debug)]
 struct OpenAsk {
     number: u64,
     sent_at: Instant,
     closes_at: Instant,
-    lacking_parts: u64,
-    seen: BTreeSet<GrantId>,
+    deficit_parts: u64,
+    /// Grants that answered the ask, so that a repeated message is recognized after a return.
+    seen_grants: BTreeSet<GrantId>,
 }
 
-/// What an ask tells every partner.
+/// Contents of an ask that are the same for all partners.
 #[derive(Clone, Copy, Debug)]
-struct SentAsk {
+struct AskFields {
     number: u64,
     parts: u64,
     needed_ms: u64,
 }
 
+/// Grant from a partner; `return_at` is set while no running request needs it.
 #[derive(Clone, Debug)]
 struct ReceivedGrant {
     parts: u64,
@@ -55,60 +59,62 @@
     return_at: Option<Instant>,
 }
 
+/// Grant to a partner.
 #[derive(Clone, Debug)]
 struct GivenGrant {
     asker: InstanceId,
     ask: u64,
     parts: u64,
-    regain_at: Instant,
+    /// From when no request of the partner can use the parts any more.
+    expires_at: Instant,
 }
 
-/// Transfers of one node.
+/// Grants that one node has received and given, and its asks for more.
 #[derive(Debug)]
 pub struct Transfers {
     instance: InstanceId,
     settings: PowerSettings,
     account: Arc<PowerAccount>,
     partners: Vec<InstanceId>,
-    next_partner: usize,
+    next_partner_index: usize,
     asked_partners: usize,
     ask: Option<OpenAsk>,
     last_ask: u64,
     last_grant: u64,
-    lacking_until: Option<Instant>,
-    lacking_parts: u64,
-    least_ask_parts: u64,
-    received: BTreeMap<GrantId, ReceivedGrant>,
-    given: BTreeMap<u64, GivenGrant>,
+    deficit_until: Option<Instant>,
+    deficit_parts: u64,
+    min_ask_parts: u64,
+    received_grants: BTreeMap<GrantId, ReceivedGrant>,
+    given_grants: BTreeMap<u64, GivenGrant>,
 }
 
 impl Transfers {
-    /// Returns the transfers of a node without partners.
+    /// Returns the state of a node without partners and grants.
     pub fn new(instance: InstanceId, settings: PowerSettings, account: Arc<PowerAccount>) -> Self {
         Self {
             instance,
             settings,
             account,
             partners: Vec::new(),
-            next_partner: 0,
+            next_partner_index: 0,
             asked_partners: 0,
             ask: None,
             last_ask: 0,
             last_grant: 0,
-            lacking_until: None,
-            lacking_parts: 0,
-            least_ask_parts: 0,
-            received: BTreeMap::new(),
-            given: BTreeMap::new(),
+            deficit_until: None,
+            deficit_parts: 0,
+            min_ask_parts: 0,
+            received_grants: BTreeMap::new(),
+            given_grants: BTreeMap::new(),
         }
     }
 
-    /// Sets the partners to ask.
+    /// Sets the partners that asks are sent to.
     pub fn set_partners(&mut self, partners: Vec<InstanceId>) {
         self.partners = partners;
     }
 
-    /// Whether there is a partner to ask.
+    /// Whether there is any partner.
     pub fn has_partners(&self) -> bool {
         !self.partners.is_empty()
     }
@@ -118,23 +124,23 @@
         self.partners.contains(instance)
     }
 
-    /// Returns the parts given and not regained.
+    /// Returns the parts granted to partners and neither returned nor expired.
     pub fn given_parts(&self) -> u64 {
-        self.given.values().map(|grant| grant.parts).sum()
+        self.given_grants.values().map(|grant| grant.parts).sum()
     }
 
-    /// Returns the parts received that may be used at `now`.
+    /// Returns the parts granted by partners that are valid at `now`.
     pub fn received_parts(&self, now: Instant) -> u64 {
-        let usable = self.received.values().filter(|grant| now < grant.deadline);
+        let usable = self.received_grants.values().filter(|grant| now < grant.deadline);
         usable.map(|grant| grant.parts).sum()
     }
 
-    /// Returns when the last of the parts given are regained.
-    pub fn last_regain_at(&self) -> Option<Instant> {
-        self.given.values().map(|grant| grant.regain_at).max()
+    /// Returns when the last grant to a partner expires.
+    pub fn last_grant_expiry(&self) -> Option<Instant> {
+        self.given_grants.values().map(|grant| grant.expires_at).max()
     }
 
-    /// Handles the answer of a partner to an ask.
+    /// Adds a grant to the account, or returns it if it answers no open ask or is not needed.
     pub fn receive_grant(
         &mut self,
         from: &InstanceId,
@@ -145,31 +151,32 @@
             return None;
         };
         let id = GrantId { giver: from.clone(), grant: *grant };
-        if *asker != self.instance || self.received.contains_key(&id) {
+        if *asker != self.instance || self.received_grants.contains_key(&id) {
             return None;
         }
-        let answers_open = |open: &&mut OpenAsk| open.number == *ask && now < open.closes_at;
-        let Some(open) = self.ask.as_mut().filter(answers_open) else {
-            return Some(return_to(&id));
+        let answers_open_ask = |open: &&mut OpenAsk| open.number == *ask && now < open.closes_at;
+        let Some(open) = self.ask.as_mut().filter(answers_open_ask) else {
+            return Some(return_message(&id));
         };
-        if !open.seen.insert(id.clone()) || open.lacking_parts == 0 {
-            return Some(return_to(&id));
+        if !open.seen_grants.insert(id.clone()) || open.deficit_parts == 0 {
+            return Some(return_message(&id));
         }
         let deadline = open.sent_at + Duration::from_millis(*valid_ms);
-        open.lacking_parts = open.lacking_parts.saturating_sub(*parts);
-        if open.lacking_parts == 0 {
+        open.deficit_parts = open.deficit_parts.saturating_sub(*parts);
+        if open.deficit_parts == 0 {
             open.closes_at = now;
         }
         let start_deadline = now + Duration::from_millis(self.settings.contact_timeout_ms);
         let source = PowerSource { parts: *parts, deadline, start_deadline };
-        self.account.set_source(id.source(), source);
+        self.account.set_source(id.source_id(), source);
         let received = ReceivedGrant { parts: *parts, deadline, return_at: None };
-        self.received.insert(id, received);
+        self.received_grants.insert(id, received);
         None
     }
 
-    /// Answers the ask of a partner from the node's own share, which lasts until
-    /// `share_deadline`; the parts are given up before the answer is sent.
+    /// Answers the ask of a partner with a grant from the node's own share, which is valid until
+    /// `share_deadline`. A node that lacks power itself keeps what it lacks only if its instance
+    /// sorts before the partner's, so that two such nodes do not keep power from each other.
     pub fn answer_ask(
         &mut self,
         from: &InstanceId,
@@ -178,21 +185,21 @@
         now: Instant,
     ) -> Option<PowerCommand> {
         let PowerMessage::Ask { ask, parts, needed_ms, .. } = message else { return None };
-        let own_parts =
-            if self.lacks(now) && self.instance < *from { self.lacking_parts } else { 0 };
-        let given_until = now + Duration::from_millis(*needed_ms) + drift_margin(*needed_ms);
-        if given_until > share_deadline {
+        let reserved_parts =
+            if self.has_deficit(now) && self.instance < *from { self.deficit_parts } else { 0 };
+        let granted_until = now + Duration::from_millis(*needed_ms) + drift_margin(*needed_ms);
+        if granted_until > share_deadline {
             return None;
         }
-        let free_parts = self.account.uncommitted_parts(now).saturating_sub(own_parts);
+        let free_parts = self.account.uncommitted_parts(now).saturating_sub(reserved_parts);
         let parts = self.account.take_uncommitted(free_parts.min(*parts), now);
         if parts == 0 {
             return None;
         }
         self.last_grant += 1;
-        let regain_at = given_until + Duration::from_millis(self.settings.transit_ms);
-        let given = GivenGrant { asker: from.clone(), ask: *ask, parts, regain_at };
-        self.given.insert(self.last_grant, given);
+        let expires_at = granted_until + Duration::from_millis(self.settings.transit_ms);
+        let given = GivenGrant { asker: from.clone(), ask: *ask, parts, expires_at };
+        self.given_grants.insert(self.last_grant, given);
         let message = PowerMessage::Grant {
             asker: from.clone(),
             ask: *ask,
@@ -203,64 +210,65 @@
         Some(PowerCommand::Send { to: from.clone(), message })
     }
 
-    /// Takes in a sign of life of `giver`: its grants cover new work for a while longer.
-    pub fn hear(&self, giver: &InstanceId, now: Instant) {
+    /// Records that a message of `giver` was received, so that its grants cover new requests for
+    /// longer.
+    pub fn record_contact(&self, giver: &InstanceId, now: Instant) {
         let start_deadline = now + Duration::from_millis(self.settings.contact_timeout_ms);
-        for id in self.received.keys().filter(|id| id.giver == *giver) {
-            self.account.extend_start_deadline(&id.source(), start_deadline);
+        for id in self.received_grants.keys().filter(|id| id.giver == *giver) {
+            self.account.extend_start_deadline(&id.source_id(), start_deadline);
         }
     }
 
-    /// Takes back what `asker` was given for asks before `ask` and does not hold.
-    pub fn regain_unheld(&mut self, asker: &InstanceId, ask: u64, held_grants: &[u64]) {
-        self.given.retain(|grant, given| {
+    /// Removes the grants to `asker` for asks before `ask` that it does not hold.
+    pub fn reclaim_unheld(&mut self, asker: &InstanceId, ask: u64, held_grants: &[u64]) {
+        self.given_grants.retain(|grant, given| {
             given.asker != *asker || given.ask >= ask || held_grants.contains(grant)
         });
     }
 
-    /// Takes a returned grant back.
-    pub fn regain(&mut self, grant: u64) {
-        self.given.remove(&grant);
+    /// Removes a grant that the partner has returned.
+    pub fn receive_return(&mut self, grant: u64) {
+        self.given_grants.remove(&grant);
     }
 
-    /// Drops what has lapsed, returns what is idle and asks for what is lacking.
+    /// Removes expired grants, returns unused ones and asks partners for the power that is lacking.
     pub fn tick(&mut self, now: Instant) -> Vec<PowerCommand> {
-        self.given.retain(|_, grant| now < grant.regain_at);
-        self.drop_lapsed(now);
-        self.mark_idle(now);
-        let mut commands = self.return_idle(now);
-        commands.extend(self.ask_partners(now));
+        self.given_grants.retain(|_, grant| now < grant.expires_at);
+        self.drop_expired(now);
+        self.schedule_idle_returns(now);
+        let mut commands = self.return_due(now);
+        commands.extend(self.send_asks(now));
         commands
     }
 
-    /// Returns every grant that running work does not need, at once.
-    pub fn return_unneeded(&mut self, now: Instant) -> Vec<PowerCommand> {
-        let lacks = self.lacks(now);
-        for grant in self.received.values_mut() {
-            grant.return_at = if lacks { None } else { Some(now) };
+    /// Returns all grants that running requests do not need immediately, unless power is lacking.
+    pub fn return_all_unneeded(&mut self, now: Instant) -> Vec<PowerCommand> {
+        let has_deficit = self.has_deficit(now);
+        for grant in self.received_grants.values_mut() {
+            grant.return_at = if has_deficit { None } else { Some(now) };
         }
-        self.return_idle(now)
+        self.return_due(now)
     }
 
-    fn lacks(&self, now: Instant) -> bool {
-        self.lacking_until.is_some_and(|until| now < until)
+    fn has_deficit(&self, now: Instant) -> bool {
+        self.deficit_until.is_some_and(|until| now < until)
     }
 
-    fn drop_lapsed(&mut self, now: Instant) {
+    fn drop_expired(&mut self, now: Instant) {
         let account = &self.account;
-        self.received.retain(|id, grant| {
-            let lasts = now < grant.deadline;
-            if !lasts {
-                account.remove_source(&id.source());
+        self.received_grants.retain(|id, grant| {
+            let is_valid = now < grant.deadline;
+            if !is_valid {
+                account.remove_source(&id.source_id());
             }
-            lasts
+            is_valid
         });
     }
 
-    fn mark_idle(&mut self, now: Instant) {
+    fn schedule_idle_returns(&mut self, now: Instant) {
         let idle_return_at = now + Duration::from_millis(self.settings.grant_idle_ms);
-        for (id, grant) in &mut self.received {
-            if self.account.is_source_needed(&id.source(), now) {
+        for (id, grant) in &mut self.received_grants {
+            if self.account.is_source_needed(&id.source_id(), now) {
                 grant.return_at = None;
                 continue;
             }
@@ -268,53 +276,53 @@
         }
     }
 
-    fn return_idle(&mut self, now: Instant) -> Vec<PowerCommand> {
+    fn return_due(&mut self, now: Instant) -> Vec<PowerCommand> {
         let mut commands = Vec::new();
         let account = &self.account;
-        self.received.retain(|id, grant| {
+        self.received_grants.retain(|id, grant| {
             let is_due = grant.return_at.is_some_and(|return_at| now >= return_at);
-            if !is_due || !account.try_reduce(&id.source(), 0, now) {
+            if !is_due || !account.try_reduce(&id.source_id(), 0, now) {
                 return true;
             }
-            account.remove_source(&id.source());
-            commands.push(return_to(id));
+            account.remove_source(&id.source_id());
+            commands.push(return_message(id));
             false
         });
         commands
     }
 
-    fn ask_partners(&mut self, now: Instant) -> Vec<PowerCommand> {
+    fn send_asks(&mut self, now: Instant) -> Vec<PowerCommand> {
         if self.ask.as_ref().is_some_and(|ask| now < ask.closes_at) {
             return Vec::new();
         }
-        let has_closed = self.ask.take().is_some();
-        if let Some(lack) = self.account.take_lack(now) {
-            self.lacking_parts = lack.parts;
-            self.lacking_until = Some(now + 2 * Duration::from_millis(self.settings.ask_period_ms));
+        let had_open_ask = self.ask.take().is_some();
+        if let Some(deficit) = self.account.take_deficit(now) {
+            self.deficit_parts = deficit.parts;
+            self.deficit_until = Some(now + 2 * Duration::from_millis(self.settings.ask_period_ms));
             if self.partners.is_empty() {
                 return Vec::new();
             }
-            self.next_partner = self.next_partner.wrapping_add(self.asked_partners);
-            self.asked_partners = self.partners.len().min(ASKED_PARTNERS);
-            let ask = self.open_ask(lack, now);
+            self.next_partner_index = self.next_partner_index.wrapping_add(self.asked_partners);
+            self.asked_partners = self.partners.len().min(MAX_ASKED_PARTNERS);
+            let ask = self.open_ask(deficit, now);
             return self.send_ask(ask);
         }
-        if !self.lacks(now) {
-            self.least_ask_parts = 0;
+        if !self.has_deficit(now) {
+            self.min_ask_parts = 0;
         }
-        if !has_closed {
+        if !had_open_ask {
             return Vec::new();
         }
-        // Partners whose grant was lost get it back by an ask for nothing.
+        // An ask for no parts lets partners reclaim grants whose messages were lost.
         self.last_ask += 1;
-        self.send_ask(SentAsk { number: self.last_ask, parts: 0, needed_ms: 0 })
+        self.send_ask(AskFields { number: self.last_ask, parts: 0, needed_ms: 0 })
     }
 
-    /// Sends an ask to the partners whose turn it is.
-    fn send_ask(&self, ask: SentAsk) -> Vec<PowerCommand> {
-        let SentAsk { number: ask, parts, needed_ms } = ask;
+    /// Sends an ask to the partners whose turn it is in the round-robin order.
+    fn send_ask(&self, ask: AskFields) -> Vec<PowerCommand> {
+        let AskFields { number: ask, parts, needed_ms } = ask;
         (0..self.asked_partners.min(self.partners.len()))
-            .map(|index| self.next_partner.wrapping_add(index) % self.partners.len())
+            .map(|index| self.next_partner_index.wrapping_add(index) % self.partners.len())
             .map(|index| {
                 let to = self.partners[index].clone();
                 let held_grants = self.held_grants(&to);
@@ -325,29 +333,30 @@
     }
 
     fn held_grants(&self, giver: &InstanceId) -> Vec<u64> {
-        self.received.keys().filter(|id| id.giver == *giver).map(|id| id.grant).collect()
+        self.received_grants.keys().filter(|id| id.giver == *giver).map(|id| id.grant).collect()
     }
 
-    fn open_ask(&mut self, lack: PowerLack, now: Instant) -> SentAsk {
-        // Callers may try one request at a time, so lasting lack multiplies what is asked for.
-        let parts = lack.parts.max(self.least_ask_parts).min(TOTAL_PARTS);
-        self.least_ask_parts = parts.saturating_mul(ASK_GROWTH);
+    fn open_ask(&mut self, deficit: PowerDeficit, now: Instant) -> AskFields {
+        // Callers may try one request at a time, so the refused requests can understate the need:
+        // each ask is larger than the one before for as long as power is lacking.
+        let parts = deficit.parts.max(self.min_ask_parts).min(TOTAL_PARTS);
+        self.min_ask_parts = parts.saturating_mul(ASK_GROWTH_FACTOR);
         self.last_ask += 1;
         self.ask = Some(OpenAsk {
             number: self.last_ask,
             sent_at: now,
             closes_at: now + Duration::from_millis(self.settings.ask_period_ms),
-            lacking_parts: parts,
-            seen: BTreeSet::new(),
+            deficit_parts: parts,
+            seen_grants: BTreeSet::new(),
         });
-        let needed = lack.needed_until.saturating_duration_since(now);
+        let needed = deficit.needed_until.saturating_duration_since(now);
         let needed_ms = u64::try_from(needed.as_millis()).unwrap_or(u64::MAX / 4);
         let needed_ms = needed_ms + 1 + self.settings.grant_reuse_ms;
-        SentAsk { number: self.last_ask, parts, needed_ms }
+        AskFields { number: self.last_ask, parts, needed_ms }
     }
 }
 
-fn return_to(id: &GrantId) -> PowerCommand {
+fn return_message(id: &GrantId) -> PowerCommand {
     let message = PowerMessage::Return { grant: id.grant };
     PowerCommand::Send { to: id.giver.clone(), message }
 }
