--- a/tests/power/main.rs
+++ b/tests/power/main.rs
@@ -1,4 +1,4 @@
-//! Leases, placement and power against naive ledgers that know everything, in virtual time.
+//! Leases, placement and power against simple reference models, in virtual time.
 
 #![allow(clippy::unwrap_used, reason = "a failed step of a test is to panic")]
 
--- a/tests/power/placement.rs
+++ b/tests/power/placement.rs
@@ -1,4 +1,4 @@
-//! Placement against fake engines whose loads slow each other down.
+//! Placement against fake engines whose concurrent loads slow each other down.
 
 use crate::world::config;
 use coriandertide::decision::leases::HeldLease;
@@ -14,7 +14,8 @@
 use std::time::{Duration, Instant};
 
 const STEP_MS: u64 = 50;
-/// Time that a load takes alone; beyond two at once, loads share the store and slow each other.
+/// Milliseconds that a load takes while at most two run; more of them share the bandwidth of the
+/// store.
 const LOAD_MS: f64 = 450.0;
 
 #[derive(Clone, Debug)]
@@ -60,14 +61,14 @@
     remaining_ms: f64,
 }
 
-/// Engines and the placement of one lease holder.
+/// Simulated engines and the placement state of the lease holder.
 struct World {
     epoch: Instant,
     now_ms: u64,
     document: Arc<Document>,
     state: PlacementState,
     engines: BTreeMap<ServerId, Engine>,
-    most_loads: usize,
+    peak_loads: usize,
     orders: usize,
     loading_ms: u64,
 }
@@ -83,7 +84,7 @@
             engines: engines.collect(),
             document: Arc::clone(&document),
             state: PlacementState::new(settings),
-            most_loads: 0,
+            peak_loads: 0,
             orders: 0,
             loading_ms: 0,
         };
@@ -103,7 +104,7 @@
     fn step(&mut self) {
         self.now_ms += STEP_MS;
         let loads = self.engines.values().filter(|engine| !engine.loading.is_empty()).count();
-        self.most_loads = self.most_loads.max(loads);
+        self.peak_loads = self.peak_loads.max(loads);
         self.loading_ms += loads as u64 * STEP_MS;
         let speed = 1.0 / (loads as f64 / 2.0).max(1.0);
         for engine in self.engines.values_mut().filter(|engine| !engine.loading.is_empty()) {
@@ -148,7 +149,7 @@
                 assert!(models.len() <= slots, "{server} is ordered {models:?}");
                 let engine = self.engines.get_mut(&server).unwrap();
                 let is_loaded = models.iter().all(|model| engine.models.contains(model));
-                // A model that is being reloaded or replaced is not served meanwhile.
+                // An engine does not serve a model while it reloads or replaces it.
                 engine.models.retain(|model| models.contains(model));
                 if !is_loaded {
                     engine.loading = models;
@@ -193,18 +194,20 @@
     (2..10usize, 1..4u32, prop::collection::vec((1..3u32, 1..3u32), 1..5))
         .prop_map(|(servers, model_slots, models)| Shape { servers, model_slots, models })
         .prop_filter("the models fit", |shape| {
-            let wanted: u32 = shape.models.iter().map(|(_, least)| least).sum();
-            let most = shape.models.iter().map(|(_, least)| *least as usize).max();
-            most <= Some(shape.servers) && wanted <= shape.servers as u32 * shape.model_slots / 2
+            let total_servers: u32 = shape.models.iter().map(|(_, min_servers)| min_servers).sum();
+            let max_servers =
+                shape.models.iter().map(|(_, min_servers)| *min_servers as usize).max();
+            max_servers <= Some(shape.servers)
+                && total_servers <= shape.servers as u32 * shape.model_slots / 2
         })
 }
 
 proptest! {
     #![proptest_config(config(53))]
 
-    /// The least servers of every model are reached, two load at once at most, a model with two
-    /// servers is never left without one while its weights change, and a settled site is left
-    /// alone.
+    /// Every model reaches its minimum number of servers, at most two servers load at once, a model
+    /// with two servers always keeps one while its weights change, and a settled site gets no
+    /// further orders.
     #[test]
     fn placement_settles(shape in shape(), versions in prop::collection::vec(1..4u32, 4)) {
         let mut world = World::new(&shape, 2);
@@ -231,7 +234,7 @@
             }
         }
         prop_assert!(world.is_settled());
-        prop_assert!(world.most_loads <= 2, "{} loads at once", world.most_loads);
+        prop_assert!(world.peak_loads <= 2, "{} loads at once", world.peak_loads);
         (0..100).for_each(|_| world.step());
         let orders = world.orders;
         (0..400).for_each(|_| world.step());
@@ -240,7 +243,7 @@
 }
 
 #[test]
-fn demand_moves_a_server_and_low_demand_does_not_move_it_back_at_once() {
+fn demand_adds_servers_and_low_demand_keeps_them_for_a_while() {
     let shape = Shape { servers: 6, model_slots: 1, models: vec![(1, 1), (1, 1)] };
     let mut world = World::new(&shape, 2);
     world.settle().unwrap();
@@ -258,7 +261,7 @@
     insta::assert_snapshot!(format!("{counts:?} orders={}", world.orders), @"[1, 2, 3, 4] orders=5");
 }
 
-/// Time to bring twelve servers to new weights, and the time that servers spend loading.
+/// Time to update twelve servers to new weights, and the total time that they spend loading.
 #[test]
 fn two_loads_at_once_beat_one_and_four() {
     let shape = Shape { servers: 12, model_slots: 1, models: vec![(1, 12)] };
--- a/tests/power/power.rs
+++ b/tests/power/power.rs
@@ -1,4 +1,4 @@
-//! Power: the draw of the whole site against one ledger that knows everything.
+//! Power: the draw of the whole simulated site stays within its budget.
 
 use crate::world::{Clock, FakeLog, config};
 use coriandertide::decision::leases::StreamRecord;
@@ -20,7 +20,7 @@
 const RETENTION_MS: u64 = 150_000;
 const CLOCK_PER_MILLE: [u64; 4] = [996, 1_000, 1_004, 999];
 
-/// Settings with short leases, so that they lapse often, and asks that stay open for long.
+/// Settings with short leases, so that shares expire often, and a long period for asks.
 fn settings() -> PowerSettings {
     PowerSettings {
         lease_ms: 60_000,
@@ -88,52 +88,52 @@
     ]
 }
 
-/// Work as the server runs it.
+/// Request that a server runs.
 struct Work {
     request: RequestId,
-    /// Run of the node process that started it.
-    run: InstanceId,
+    /// Instance that started it.
+    instance: InstanceId,
     server: usize,
     watts: u64,
     priority: Priority,
     ends_at_ms: u64,
-    /// Budget in force where it was started, as last seen by a process that can still cancel it.
+    /// Budget in force on the instance that started it, as last read before the instance ended.
     budget_watts: u64,
 }
 
 struct Node {
     clock: Clock,
-    run: InstanceId,
+    instance: InstanceId,
     address: String,
     state: PowerState,
     account: Arc<PowerAccount>,
     budget: usize,
     paused_until_ms: u64,
-    cut_until_ms: u64,
+    partitioned_until_ms: u64,
     log_cut_until_ms: u64,
     reads_cut_until_ms: u64,
-    /// Server and time of the requests that the node starts while it can.
+    /// Server and duration in milliseconds of the requests that the node starts as power permits.
     demand: Option<(usize, u64)>,
 }
 
-struct Mail {
+struct DelayedMessage {
     due_ms: u64,
     from: InstanceId,
     to: InstanceId,
     message: PowerMessage,
 }
 
-/// Nodes, log, links and servers, with the ledger of what the servers really run.
+/// Simulated nodes, log, links and servers, with the requests that the servers really run.
 struct World {
-    links_lose: bool,
+    lossy_links: bool,
     grants_are_slow: bool,
     settings: PowerSettings,
     now_ms: u64,
     random: fastrand::Rng,
     log: FakeLog,
     nodes: Vec<Node>,
-    mail: Vec<Mail>,
-    works: Vec<Work>,
+    messages: Vec<DelayedMessage>,
+    work: Vec<Work>,
     documents: Vec<Arc<Document>>,
     edited: usize,
     counter: u64,
@@ -148,14 +148,14 @@
     fn new(seed: u64, settings: PowerSettings) -> Self {
         let mut world = Self {
             settings,
-            links_lose: true,
+            lossy_links: true,
             grants_are_slow: false,
             now_ms: 1_000,
             random: fastrand::Rng::with_seed(seed),
             log: FakeLog::default(),
             nodes: Vec::new(),
-            mail: Vec::new(),
-            works: Vec::new(),
+            messages: Vec::new(),
+            work: Vec::new(),
             documents: BUDGETS_WATTS.iter().map(|watts| document(*watts)).collect(),
             edited: 0,
             counter: 0,
@@ -166,20 +166,21 @@
         };
         let epoch = Instant::now();
         for (index, per_mille) in CLOCK_PER_MILLE.iter().enumerate() {
-            let node = world.boot(Clock::new(epoch, *per_mille), format!("10.0.0.{index}:7000"), 0);
+            let node =
+                world.start_node(Clock::new(epoch, *per_mille), format!("10.0.0.{index}:7000"), 0);
             world.nodes.push(node);
         }
-        world.announce();
+        world.send_membership();
         world
     }
 
-    fn boot(&mut self, clock: Clock, address: String, budget: usize) -> Node {
+    fn start_node(&mut self, clock: Clock, address: String, budget: usize) -> Node {
         self.counter += 1;
-        let run = InstanceId::from(format!("run-{}", self.counter));
+        let instance = InstanceId::from(format!("run-{}", self.counter));
         let account = Arc::new(PowerAccount::default());
         let now = clock.at(self.now_ms);
         let mut state = PowerState::new(
-            run.clone(),
+            instance.clone(),
             address.as_str().into(),
             self.settings,
             Arc::clone(&account),
@@ -189,26 +190,27 @@
         assert!(state.apply(PowerEvent::Document(document), now).is_empty());
         Node {
             clock,
-            run,
+            instance,
             address,
             state,
             account,
             budget,
             paused_until_ms: 0,
-            cut_until_ms: 0,
+            partitioned_until_ms: 0,
             log_cut_until_ms: 0,
             reads_cut_until_ms: 0,
             demand: None,
         }
     }
 
-    /// Tells every node who its partners are.
-    fn announce(&mut self) {
-        let runs: Vec<InstanceId> = self.nodes.iter().map(|node| node.run.clone()).collect();
+    /// Sends every node the list of its partners.
+    fn send_membership(&mut self) {
+        let instances: Vec<InstanceId> =
+            self.nodes.iter().map(|node| node.instance.clone()).collect();
         for index in 0..self.nodes.len() {
-            let mut partners = runs.clone();
+            let mut partners = instances.clone();
             partners.remove(index);
-            let live_nodes = runs.len() as u32;
+            let live_nodes = instances.len() as u32;
             self.apply(index, PowerEvent::Membership { partners, live_nodes });
         }
     }
@@ -219,14 +221,14 @@
             Op::Demand { node, server, work_ms } => {
                 self.nodes[*node].demand = work_ms.map(|work_ms| (*server, work_ms));
             }
-            Op::Finish { pick } if !self.works.is_empty() => {
-                let work = self.works.swap_remove(pick % self.works.len());
+            Op::Finish { pick } if !self.work.is_empty() => {
+                let work = self.work.swap_remove(pick % self.work.len());
                 self.finish(&work);
             }
             Op::Finish { .. } => {}
             Op::Pause { node, ms } => self.nodes[*node].paused_until_ms = self.now_ms + ms,
             Op::Outage { ms } => self.log.down_until_ms = self.now_ms + ms,
-            Op::Partition { node, ms } => self.nodes[*node].cut_until_ms = self.now_ms + ms,
+            Op::Partition { node, ms } => self.nodes[*node].partitioned_until_ms = self.now_ms + ms,
             Op::LogCut { node, ms } => self.nodes[*node].log_cut_until_ms = self.now_ms + ms,
             Op::Restart { node, keeps_address, is_graceful } => {
                 self.restart(*node, *keeps_address, *is_graceful);
@@ -242,8 +244,8 @@
         self.now_ms < self.nodes[index].paused_until_ms
     }
 
-    /// Starts a request; the server ends it at its deadline at the latest, late by less than the
-    /// transit time because the request was under way.
+    /// Starts a request if power permits. The server ends it up to the transit time after its
+    /// deadline, since the request takes time to arrive.
     fn start(&mut self, index: usize, server: usize, work_ms: u64) -> bool {
         if self.is_paused(index) {
             return false;
@@ -261,9 +263,9 @@
             return false;
         }
         let late_ms = self.random.u64(..self.settings.transit_ms);
-        self.works.push(Work {
+        self.work.push(Work {
             request: start.request,
-            run: node.run.clone(),
+            instance: node.instance.clone(),
             server,
             watts: 30 + 40 * server as u64,
             priority: start.priority,
@@ -273,9 +275,9 @@
         true
     }
 
-    /// Tells the node, if it still runs, that a request has ended.
+    /// Reports the end of a request to its node, if that still runs.
     fn finish(&self, work: &Work) {
-        if let Some(node) = self.nodes.iter().find(|node| node.run == work.run) {
+        if let Some(node) = self.nodes.iter().find(|node| node.instance == work.instance) {
             node.account.finish(&work.request);
         }
     }
@@ -290,9 +292,9 @@
             address = format!("10.0.1.{}:7000", self.counter);
         }
         let demand = self.nodes[index].demand;
-        let node = Node { demand, ..self.boot(clock, address, self.edited) };
+        let node = Node { demand, ..self.start_node(clock, address, self.edited) };
         self.nodes[index] = node;
-        self.announce();
+        self.send_membership();
     }
 
     fn read_document(&mut self, index: usize) {
@@ -301,8 +303,8 @@
         }
         let budget = self.edited;
         self.nodes[index].budget = budget;
-        let run = self.nodes[index].run.clone();
-        for work in self.works.iter_mut().filter(|work| work.run == run) {
+        let instance = self.nodes[index].instance.clone();
+        for work in self.work.iter_mut().filter(|work| work.instance == instance) {
             work.budget_watts = BUDGETS_WATTS[budget];
         }
         let document = Arc::clone(&self.documents[budget]);
@@ -312,13 +314,13 @@
     fn step(&mut self) {
         self.now_ms += STEP_MS;
         self.log.advance(self.now_ms);
-        self.deliver_mail();
+        self.deliver_messages();
         let now_ms = self.now_ms;
         let (ended, running) =
-            std::mem::take(&mut self.works).into_iter().partition(|work| work.ends_at_ms <= now_ms);
-        self.works = running;
+            std::mem::take(&mut self.work).into_iter().partition(|work| work.ends_at_ms <= now_ms);
+        self.work = running;
         ended.iter().for_each(|work| self.finish(work));
-        let is_busy = |server| self.works.iter().any(|work| work.server == server);
+        let is_busy = |server| self.work.iter().any(|work| work.server == server);
         self.busy.push(std::array::from_fn(is_busy));
         for index in 0..self.nodes.len() {
             if self.is_paused(index) {
@@ -340,17 +342,19 @@
         self.check();
     }
 
-    /// Lets a node hear its partners and read a load report, which lags.
+    /// Delivers contacts from partners and an outdated load report to a node.
     fn report(&mut self, index: usize) {
         let live: Vec<InstanceId> = self
             .nodes
             .iter()
-            .filter(|node| node.paused_until_ms <= self.now_ms && node.cut_until_ms <= self.now_ms)
-            .map(|node| node.run.clone())
+            .filter(|node| {
+                node.paused_until_ms <= self.now_ms && node.partitioned_until_ms <= self.now_ms
+            })
+            .map(|node| node.instance.clone())
             .collect();
-        for run in live {
-            if run != self.nodes[index].run && self.random.u8(..) < 50 {
-                self.apply(index, PowerEvent::PartnerContact(run));
+        for instance in live {
+            if instance != self.nodes[index].instance && self.random.u8(..) < 50 {
+                self.apply(index, PowerEvent::PartnerContact(instance));
             }
         }
         let server = self.random.usize(..SERVERS);
@@ -363,18 +367,19 @@
         }
     }
 
-    fn deliver_mail(&mut self) {
+    fn deliver_messages(&mut self) {
         let now_ms = self.now_ms;
-        let (due, waiting) =
-            std::mem::take(&mut self.mail).into_iter().partition(|mail| mail.due_ms <= now_ms);
-        self.mail = waiting;
-        let mut due: Vec<Mail> = due;
-        due.sort_by_key(|mail| mail.due_ms);
-        for mail in due {
-            let Some(index) = self.nodes.iter().position(|node| node.run == mail.to) else {
+        let (due, waiting) = std::mem::take(&mut self.messages)
+            .into_iter()
+            .partition(|delayed| delayed.due_ms <= now_ms);
+        self.messages = waiting;
+        let mut due: Vec<DelayedMessage> = due;
+        due.sort_by_key(|delayed| delayed.due_ms);
+        for delayed in due {
+            let Some(index) = self.nodes.iter().position(|node| node.instance == delayed.to) else {
                 continue;
             };
-            let Mail { from, message, .. } = mail;
+            let DelayedMessage { from, message, .. } = delayed;
             self.apply(index, PowerEvent::Message { from, message });
         }
     }
@@ -392,9 +397,9 @@
                     }
                 }
                 PowerCommand::Send { to, message } => {
-                    let mail = (node.run.clone(), to, message);
-                    let is_cut = self.now_ms < node.cut_until_ms;
-                    self.send(mail, is_cut);
+                    let addressed = (node.instance.clone(), to, message);
+                    let is_partitioned = self.now_ms < node.partitioned_until_ms;
+                    self.send(addressed, is_partitioned);
                 }
                 PowerCommand::Probe { instance, address } => {
                     let listens = |node: &Node| node.address == address.as_str();
@@ -411,49 +416,53 @@
         }
     }
 
-    /// Sends a message that may be lost, late or doubled.
-    fn send(&mut self, (from, to, message): (InstanceId, InstanceId, PowerMessage), is_cut: bool) {
+    /// Sends a message that may be lost, delayed or duplicated.
+    fn send(
+        &mut self,
+        (from, to, message): (InstanceId, InstanceId, PowerMessage),
+        is_partitioned: bool,
+    ) {
         self.transfers += usize::from(matches!(message, PowerMessage::Grant { .. }));
-        let copies = match (is_cut, self.links_lose) {
+        let copies = match (is_partitioned, self.lossy_links) {
             (true, _) => 0,
             (false, false) => 1,
             (false, true) => [0, 1, 1, 1, 1, 2][self.random.usize(..6)],
         };
         for _ in 0..copies {
             let is_slow = self.grants_are_slow && matches!(message, PowerMessage::Grant { .. });
-            let longest_ms = match self.random.u8(..) {
-                0..20 if self.links_lose => 30_000,
-                20..60 if self.links_lose => 3_000,
+            let max_delay_ms = match self.random.u8(..) {
+                0..20 if self.lossy_links => 30_000,
+                20..60 if self.lossy_links => 3_000,
                 _ => 150,
             };
-            let delay_ms = self.random.u64(1..longest_ms);
+            let delay_ms = self.random.u64(1..max_delay_ms);
             let due_ms = self.now_ms + if is_slow { 2_700 } else { delay_ms };
             let (from, to, message) = (from.clone(), to.clone(), message.clone());
-            self.mail.push(Mail { due_ms, from, to, message });
+            self.messages.push(DelayedMessage { due_ms, from, to, message });
         }
     }
 
     fn shed(&mut self, requests: &[RequestId], account: &PowerAccount) {
         for request in requests {
             account.finish(request);
-            let Some(shed) = self.works.iter().position(|work| work.request == *request) else {
+            let Some(shed) = self.work.iter().position(|work| work.request == *request) else {
                 continue;
             };
-            let shed = self.works.swap_remove(shed);
-            let mut kept = self.works.iter().filter(|work| work.run == shed.run);
+            let shed = self.work.swap_remove(shed);
+            let mut kept = self.work.iter().filter(|work| work.instance == shed.instance);
             let later = |work: &Work| !requests.contains(&work.request);
             let is_lowest = kept.all(|work| !later(work) || work.priority >= shed.priority);
             assert!(is_lowest, "{request} was shed before work of lower priority");
         }
     }
 
-    /// The draw is within the largest budget that is in force anywhere, for a node or for work
-    /// that a dead node left behind.
+    /// Asserts that the draw is within the largest budget in force on any node, or on an ended
+    /// instance whose requests still run.
     fn check(&mut self) {
         let draw_watts =
-            SERVERS as u64 * IDLE_WATTS + self.works.iter().map(|work| work.watts).sum::<u64>();
+            SERVERS as u64 * IDLE_WATTS + self.work.iter().map(|work| work.watts).sum::<u64>();
         let in_force = self.nodes.iter().map(|node| BUDGETS_WATTS[node.budget]);
-        let left_behind = self.works.iter().map(|work| work.budget_watts);
+        let left_behind = self.work.iter().map(|work| work.budget_watts);
         let budget_watts = in_force.chain(left_behind).max().unwrap_or(0);
         self.peak_watts = self.peak_watts.max(draw_watts);
         assert!(
@@ -480,9 +489,9 @@
     }
 }
 
-/// A reader waits for the lease, the drift margin and the transit time.
+/// A reader that released a share before its holder stops using it would allocate its parts twice.
 #[test]
-fn a_share_lapses_after_every_margin() {
+fn share_expires_after_lease_drift_and_transit() {
     let now = Instant::now();
     let record: ShareStreamRecord = StreamRecord::Change(ShareRecord {
         instance: "holder".into(),
@@ -499,24 +508,29 @@
     log.append(serde_json::to_vec(&record).unwrap(), 1);
     let mut ledger = ShareLedger::new(&"reader".into(), 60_000, 2_000);
     ledger.fold_page(&log.read(1, 2).unwrap(), 1, now);
-    let lapses_in = ledger.entries().next().unwrap().expires_at - now;
-    insta::assert_snapshot!(lapses_in.as_millis(), @"62800");
+    let expires_in = ledger.entries().next().unwrap().expires_at - now;
+    insta::assert_snapshot!(expires_in.as_millis(), @"62800");
 }
 
-/// A node that is cut from the log works until the last moment of its share, or gives to a partner
-/// that does, while the others wait for it to lapse.
+/// A node that is cut off from the log uses its share until it expires, or grants it to a partner
+/// that does. The draw would exceed the budget if the other nodes took over the share too early.
 #[test]
-fn a_share_is_used_until_it_lapses_and_not_beyond() {
+fn share_is_used_until_it_expires_and_no_longer() {
     for seed in 1..40 {
         let mut world = World::new(seed, PowerSettings { transit_ms: 6_000, ..settings() });
-        world.links_lose = false;
+        world.lossy_links = false;
         (0..100).for_each(|_| world.step());
         world.nodes[0].log_cut_until_ms = u64::MAX;
         world.nodes[0].demand = (seed % 2 == 0).then_some((0, 1_000));
-        let runs: Vec<InstanceId> = world.nodes.iter().map(|node| node.run.clone()).collect();
+        let instances: Vec<InstanceId> =
+            world.nodes.iter().map(|node| node.instance.clone()).collect();
         for index in 1..4 {
             world.nodes[index].demand = Some((0, 1_000 * (seed % 20 + 1)));
-            let partners = runs.iter().filter(|run| **run != runs[index]).cloned().collect();
+            let partners = instances
+                .iter()
+                .filter(|instance| **instance != instances[index])
+                .cloned()
+                .collect();
             world.apply(index, PowerEvent::Membership { partners, live_nodes: 3 });
         }
         (0..600).for_each(|_| world.step());
@@ -524,15 +538,15 @@
     }
 }
 
-/// A node that gives a part of its share up does not use it though it cannot read its own record.
+/// A node that appends a smaller share, but cannot read the log, must not use the released parts.
 #[test]
-fn a_share_is_smaller_as_soon_as_that_is_sent() {
+fn share_shrinks_when_the_record_is_sent() {
     for seed in 1..20 {
         let mut world = World::new(seed, settings());
-        world.links_lose = false;
+        world.lossy_links = false;
         (0..100).for_each(|_| world.step());
         world.nodes[0].reads_cut_until_ms = u64::MAX;
-        let partners = world.nodes[1..].iter().map(|node| node.run.clone()).collect();
+        let partners = world.nodes[1..].iter().map(|node| node.instance.clone()).collect();
         world.apply(0, PowerEvent::Membership { partners, live_nodes: 5 });
         (0..60).for_each(|_| world.step());
         for index in 0..4 {
@@ -547,41 +561,42 @@
     }
 }
 
-/// A node dies just after its first requests; reports that still show the time before prove
-/// nothing, and reports after its work do.
+/// A node ends just after its first requests. Load reports that still show the servers idle from
+/// before these requests must not release the share; reports from after them must.
 #[test]
-fn idle_reports_bring_the_watts_of_the_dead_back_but_not_early() {
+fn idle_reports_release_the_share_of_an_ended_node_but_not_early() {
     let mut reclaimed_ms = Vec::new();
     for seed in 1..40 {
         let mut world = World::new(seed, settings());
-        world.links_lose = false;
+        world.lossy_links = false;
         (0..100).for_each(|_| world.step());
-        let dead = world.nodes[0].run.clone();
+        let ended = world.nodes[0].instance.clone();
         world.nodes[0].demand = Some((0, 8_000));
         (0..2).for_each(|_| world.step());
         world.nodes[0].demand = None;
         world.restart(0, false, false);
-        let died_at_ms = world.now_ms;
+        let ended_at_ms = world.now_ms;
         (0..15).for_each(|_| world.step());
         world.nodes.iter_mut().for_each(|node| node.demand = Some((0, 1_000)));
         (0..30).for_each(|_| world.step());
         world.nodes.iter_mut().for_each(|node| node.demand = None);
-        while world.nodes[1].state.share(&dead).is_some() {
+        while world.nodes[1].state.share(&ended).is_some() {
             world.step();
         }
-        reclaimed_ms.push(world.now_ms - died_at_ms);
+        reclaimed_ms.push(world.now_ms - ended_at_ms);
     }
     reclaimed_ms.sort();
     let figures = format!("{} to {} ms", reclaimed_ms[0], reclaimed_ms[reclaimed_ms.len() - 1]);
     insta::assert_snapshot!(figures, @"12200 to 14000 ms");
 }
 
-/// A grant that arrives late is used until the last moment of its validity, and not beyond.
+/// A grant that arrives late expires as early as one that arrives at once. If it were used for
+/// longer, the draw would exceed the budget.
 #[test]
-fn a_late_grant_is_used_until_it_ends_and_not_beyond() {
+fn late_grant_is_used_until_it_expires_and_no_longer() {
     for seed in 1..60 {
         let mut world = World::new(seed, PowerSettings { transit_ms: 600, ..settings() });
-        world.links_lose = false;
+        world.lossy_links = false;
         world.grants_are_slow = true;
         (0..100).for_each(|_| world.step());
         world.nodes[0].demand = Some((0, 1_000));
@@ -592,20 +607,20 @@
     }
 }
 
-/// Returns the time until a node under load, of four, draws nine tenths of the site's power, or a
-/// minute if it does not.
-fn transfer_ms(links_lose: bool, seed: u64) -> u64 {
+/// Returns the milliseconds until the only one of four nodes under load draws nine tenths of the
+/// site's power, 60,000 at most.
+fn transfer_ms(lossy_links: bool, seed: u64) -> u64 {
     let mut world = World::new(seed, PowerSettings::default());
-    world.links_lose = links_lose;
+    world.lossy_links = lossy_links;
     (0..200).for_each(|_| world.step());
     let started_at_ms = world.now_ms;
-    let wanted_watts = (BUDGETS_WATTS[0] - SERVERS as u64 * IDLE_WATTS) * 9 / 10;
+    let target_watts = (BUDGETS_WATTS[0] - SERVERS as u64 * IDLE_WATTS) * 9 / 10;
     world.nodes[0].demand = Some((0, 20_000));
-    let is_waiting = |world: &World| {
-        let drawn_watts: u64 = world.works.iter().map(|work| work.watts).sum();
-        drawn_watts < wanted_watts && world.now_ms < started_at_ms + 60_000
+    let is_below_target = |world: &World| {
+        let drawn_watts: u64 = world.work.iter().map(|work| work.watts).sum();
+        drawn_watts < target_watts && world.now_ms < started_at_ms + 60_000
     };
-    while is_waiting(&world) {
+    while is_below_target(&world) {
         world.step();
     }
     world.now_ms - started_at_ms
@@ -613,10 +628,10 @@
 
 #[test]
 fn unused_watts_reach_a_node_that_lacks_them() {
-    let figures = [false, true].map(|links_lose| {
-        let mut times_ms: Vec<u64> = (1..10).map(|seed| transfer_ms(links_lose, seed)).collect();
+    let figures = [false, true].map(|lossy_links| {
+        let mut times_ms: Vec<u64> = (1..10).map(|seed| transfer_ms(lossy_links, seed)).collect();
         times_ms.sort();
-        format!("links lose: {links_lose}, median {} ms, worst {} ms", times_ms[4], times_ms[8])
+        format!("links lose: {lossy_links}, median {} ms, worst {} ms", times_ms[4], times_ms[8])
     });
     insta::assert_snapshot!(figures.join("
 "), @r"
@@ -625,7 +640,7 @@
     ");
 }
 
-/// The property test means something: without faults the whole budget can be used, and is.
+/// Without faults the whole budget is used, so that the property test can reach its bound.
 #[test]
 fn all_nodes_together_use_the_budget() {
     let mut world = World::new(5, settings());
--- a/tests/power/transfers.rs
+++ b/tests/power/transfers.rs
@@ -13,7 +13,7 @@
 
 const BUDGET_WATTS: u64 = 1_500;
 
-/// Node that has lacked power, asked its partner in vain, and got a share of its own since.
+/// Node that lacks power and is then asked for some.
 struct Giver {
     state: PowerState,
     account: Arc<PowerAccount>,
@@ -33,7 +33,7 @@
         giver
     }
 
-    fn lack(&mut self) {
+    fn refuse_request(&mut self) {
         let request = PowerRequest {
             request: "request".into(),
             server: "server-0".into(),
@@ -43,8 +43,8 @@
         assert_eq!(self.account.try_start(&request, self.now), PowerAnswer::Lacking);
     }
 
-    /// Passes `period` and delivers what is appended meanwhile.
-    fn pass(&mut self, period: Duration) {
+    /// Advances time by `period` and reads back the records that the node appends.
+    fn advance(&mut self, period: Duration) {
         self.now += period;
         let from = self.state.next_offset();
         let commands = self.state.apply(PowerEvent::Tick, self.now);
@@ -65,25 +65,26 @@
         self.state.apply(PowerEvent::Page { page, from }, self.now);
     }
 
-    fn answer(&mut self, asker: &str) -> Vec<PowerCommand> {
+    fn receive_ask(&mut self, asker: &str) -> Vec<PowerCommand> {
         let ask =
             PowerMessage::Ask { ask: 1, parts: 1_000, needed_ms: 10_000, held_grants: vec![] };
         self.state.apply(PowerEvent::Message { from: asker.into(), message: ask }, self.now)
     }
 }
 
-/// The node whose name comes first keeps back what it lacked, but not what it has beyond that.
+/// A node that lacked power before it got a share may keep back only what it lacked, and only if
+/// its name sorts before the asker's.
 #[test]
-fn a_node_that_lacked_power_gives_what_it_has_since_got_to_spare() {
+fn node_with_a_past_deficit_grants_its_surplus() {
     for (giver, asker) in [("a", "b"), ("b", "a")] {
         let mut node = Giver::new(giver, asker);
-        node.pass(Duration::from_secs(3));
+        node.advance(Duration::from_secs(3));
         while node.account.allowed_watts(node.now) == 0 {
-            node.lack();
-            node.pass(Duration::from_millis(100));
+            node.refuse_request();
+            node.advance(Duration::from_millis(100));
         }
         let grants = node
-            .answer(asker)
+            .receive_ask(asker)
             .into_iter()
             .filter(|command| {
                 matches!(command, PowerCommand::Send { message: PowerMessage::Grant { .. }, .. })
--- a/tests/power/world.rs
+++ b/tests/power/world.rs
@@ -1,14 +1,14 @@
-//! Virtual time, drifting clocks and a log that loses, repeats and delays appends.
+//! Virtual time, drifting clocks and a log that loses, duplicates and delays appends.
 
 use bytes::Bytes;
 use coriandertide::ports::{LogPage, LogRecord};
 use proptest::test_runner::{Config, RngSeed};
 use std::time::{Duration, Instant, SystemTime};
 
-/// Records that one read returns at most; small, so that readers lag behind.
+/// Maximum number of records in a page; small, so that readers lag behind.
 const PAGE_RECORDS: usize = 16;
 
-/// Returns the settings of a property test; `COT_PROPTEST_CASES` sets the number of cases.
+/// Returns the configuration of a property test; `COT_PROPTEST_CASES` sets the number of cases.
 pub fn config(seed: u64) -> Config {
     let cases = std::env::var("COT_PROPTEST_CASES").ok().and_then(|cases| cases.parse().ok());
     Config {
@@ -32,24 +32,24 @@
         Self { epoch, per_mille }
     }
 
-    /// Returns what the clock shows at true time `true_ms`.
+    /// Returns the time of this clock at true time `true_ms`.
     pub fn at(&self, true_ms: u64) -> Instant {
         self.epoch + Duration::from_micros(true_ms * self.per_mille)
     }
 
-    /// Returns the true time at which the clock shows `moment`, rounded up.
+    /// Returns the true time at which this clock reaches `moment`, rounded up.
     pub fn true_ms(&self, moment: Instant) -> u64 {
         let micros = moment.duration_since(self.epoch).as_micros() as u64;
         micros.div_ceil(self.per_mille)
     }
 }
 
-/// Log with outages; appends are under way for a while, may be lost and may arrive twice.
+/// Log with outages; appends take a while to arrive, may be lost and may arrive twice.
 #[derive(Default)]
 pub struct FakeLog {
     records: Vec<LogRecord>,
-    under_way: Vec<(u64, Bytes)>,
-    /// Offset of the oldest record kept, less one.
+    in_flight: Vec<(u64, Bytes)>,
+    /// Number of expired records.
     expired: usize,
     /// True time until which the log is down.
     pub down_until_ms: u64,
@@ -59,20 +59,20 @@
     /// Sends an append at `now_ms`.
     pub fn send(&mut self, payload: Vec<u8>, now_ms: u64, random: &mut fastrand::Rng) {
         let payload = Bytes::from(payload);
-        let longest_ms = if random.u8(..) < 16 { 8_000 } else { 300 };
+        let max_delay_ms = if random.u8(..) < 16 { 8_000 } else { 300 };
         if random.u8(..) >= 25 {
-            self.under_way.push((now_ms + random.u64(1..longest_ms), payload.clone()));
+            self.in_flight.push((now_ms + random.u64(1..max_delay_ms), payload.clone()));
         }
         if random.u8(..) < 25 {
-            self.under_way.push((now_ms + random.u64(1..8_000), payload));
+            self.in_flight.push((now_ms + random.u64(1..8_000), payload));
         }
     }
 
-    /// Lets appends that are due at `now_ms` take effect, unless the log is down.
+    /// Appends the records that arrive by `now_ms`, or loses them if the log is down.
     pub fn advance(&mut self, now_ms: u64) {
-        self.under_way.sort_by_key(|(due_ms, _)| *due_ms);
-        while self.under_way.first().is_some_and(|(due_ms, _)| *due_ms <= now_ms) {
-            let (_, payload) = self.under_way.remove(0);
+        self.in_flight.sort_by_key(|(due_ms, _)| *due_ms);
+        while self.in_flight.first().is_some_and(|(due_ms, _)| *due_ms <= now_ms) {
+            let (_, payload) = self.in_flight.remove(0);
             if now_ms < self.down_until_ms {
                 continue;
             }
