--- a/src/decision/placement/plan.rs
+++ b/src/decision/placement/plan.rs
@@ -167,8 +167,8 @@
         self.orders.push(PlannedOrder { server, models, model, reason });
     }
 
-    /// Updates servers to the weights and adapters of the document, as far as each model keeps a
-    /// server that is not loading.
+    /// Updates servers to the weights and adapters of the document, as far as each model with other
+    /// servers keeps one that is not loading.
     fn update_weights(&mut self) {
         for model in self.document.models.keys() {
             while self.remaining_loads > 0 {
--- a/src/decision/power/account.rs
+++ b/src/decision/power/account.rs
@@ -74,9 +74,9 @@
             .map(|(name, server)| (name.clone(), u64::from(server.request_watts)))
             .collect();
         let AccountState { request_watts, running, .. } = &mut *state;
-        for work in running.values_mut() {
-            if let Some(watts) = request_watts.get(&work.server) {
-                work.watts = *watts;
+        for request in running.values_mut() {
+            if let Some(watts) = request_watts.get(&request.server) {
+                request.watts = *watts;
             }
         }
     }
@@ -110,7 +110,7 @@
 
     /// Returns the latest deadline of the running requests.
     pub fn last_work_deadline(&self) -> Option<Instant> {
-        self.lock().running.values().map(|work| work.work_deadline).max()
+        self.lock().running.values().map(|running| running.work_deadline).max()
     }
 
     /// Removes a source, even if running requests need it.
@@ -160,7 +160,7 @@
 
     /// Returns the watts committed to running requests.
     pub fn committed_watts(&self) -> u64 {
-        self.lock().running.values().map(|work| work.watts).sum()
+        self.lock().running.values().map(|running| running.watts).sum()
     }
 
     /// Returns the watts that the nodes divide among them: the budget less the idle draw.
--- a/src/decision/power/account_state.rs
+++ b/src/decision/power/account_state.rs
@@ -69,7 +69,7 @@
         }
         self.refused.remove(&start.request);
         self.last_start_number += 1;
-        let work = RunningRequest {
+        let running = RunningRequest {
             server: start.server.clone(),
             watts,
             priority: start.priority,
@@ -77,7 +77,7 @@
             start_number: self.last_start_number,
             is_shed: false,
         };
-        self.running.insert(start.request.clone(), work);
+        self.running.insert(start.request.clone(), running);
         if self.is_covered(now) && self.can_start_all(now) {
             return PowerAnswer::Started;
         }
@@ -115,8 +115,8 @@
     fn committed_watts_after(&self, moment: Option<Instant>) -> u64 {
         self.running
             .values()
-            .filter(|work| moment.is_none_or(|moment| work.work_deadline > moment))
-            .map(|work| work.watts)
+            .filter(|running| moment.is_none_or(|moment| running.work_deadline > moment))
+            .map(|running| running.watts)
             .sum()
     }
 
@@ -174,13 +174,15 @@
         }
         // Requests already shed no longer count; the full map is swapped back at the end.
         let mut swapped_running = self.running.clone();
-        swapped_running.retain(|_, work| !work.is_shed);
+        swapped_running.retain(|_, running| !running.is_shed);
         std::mem::swap(&mut swapped_running, &mut self.running);
         while !self.is_covered(now) {
             let candidate = self
                 .running
                 .iter()
-                .min_by_key(|(_, work)| (work.priority, std::cmp::Reverse(work.start_number)))
+                .min_by_key(|(_, running)| {
+                    (running.priority, std::cmp::Reverse(running.start_number))
+                })
                 .map(|(request, _)| request.clone());
             let Some(request) = candidate else { break };
             self.running.remove(&request);
@@ -188,8 +190,8 @@
         }
         std::mem::swap(&mut swapped_running, &mut self.running);
         for request in &shed {
-            if let Some(work) = self.running.get_mut(request) {
-                work.is_shed = true;
+            if let Some(running) = self.running.get_mut(request) {
+                running.is_shed = true;
             }
         }
         shed
--- a/src/decision/power/own_share.rs
+++ b/src/decision/power/own_share.rs
@@ -66,7 +66,7 @@
         let target_parts = self.target_parts(held_parts, now)?;
         let differs =
             target_parts.abs_diff(held_parts) > self.fair_parts(now) / ADJUST_THRESHOLD_DIVISOR;
-        let is_due = now >= self.renew_at || (differs && now >= self.adjust_at);
+        let is_due = now >= self.renew_at || (differs && now >= self.next_adjust_at);
         let needs_record = self.held_share.is_some() || differs;
         if !is_due || !needs_record || target_parts == 0 {
             return None;
@@ -111,7 +111,7 @@
         };
         let renew_ms = self.settings.renew_ms.min(lease_ms / MIN_RENEWALS_PER_LEASE);
         self.renew_at = now + Duration::from_millis(renew_ms);
-        self.adjust_at = now + Duration::from_millis(MIN_ADJUST_PERIOD_MS);
+        self.next_adjust_at = now + Duration::from_millis(MIN_ADJUST_PERIOD_MS);
         self.append(action, now)
     }
 
--- a/src/decision/power/transfers.rs
+++ b/src/decision/power/transfers.rs
@@ -77,10 +77,12 @@
     account: Arc<PowerAccount>,
     partners: Vec<InstanceId>,
     next_partner_index: usize,
+    /// Number of partners that the last ask was sent to.
     asked_partners: usize,
     ask: Option<OpenAsk>,
-    last_ask: u64,
-    last_grant: u64,
+    last_ask_number: u64,
+    last_grant_number: u64,
+    /// Until when this node counts as lacking `deficit_parts`.
     deficit_until: Option<Instant>,
     deficit_parts: u64,
     min_ask_parts: u64,
@@ -99,8 +101,8 @@
             next_partner_index: 0,
             asked_partners: 0,
             ask: None,
-            last_ask: 0,
-            last_grant: 0,
+            last_ask_number: 0,
+            last_grant_number: 0,
             deficit_until: None,
             deficit_parts: 0,
             min_ask_parts: 0,
@@ -196,14 +198,14 @@
         if parts == 0 {
             return None;
         }
-        self.last_grant += 1;
+        self.last_grant_number += 1;
         let expires_at = granted_until + Duration::from_millis(self.settings.transit_ms);
         let given = GivenGrant { asker: from.clone(), ask: *ask, parts, expires_at };
-        self.given_grants.insert(self.last_grant, given);
+        self.given_grants.insert(self.last_grant_number, given);
         let message = PowerMessage::Grant {
             asker: from.clone(),
             ask: *ask,
-            grant: self.last_grant,
+            grant: self.last_grant_number,
             parts,
             valid_ms: *needed_ms,
         };
@@ -314,8 +316,8 @@
             return Vec::new();
         }
         // An ask for no parts lets partners reclaim grants whose messages were lost.
-        self.last_ask += 1;
-        self.send_ask(AskFields { number: self.last_ask, parts: 0, needed_ms: 0 })
+        self.last_ask_number += 1;
+        self.send_ask(AskFields { number: self.last_ask_number, parts: 0, needed_ms: 0 })
     }
 
     /// Sends an ask to the partners whose turn it is in the round-robin order.
@@ -341,9 +343,9 @@
         // each ask is larger than the one before for as long as power is lacking.
         let parts = deficit.parts.max(self.min_ask_parts).min(TOTAL_PARTS);
         self.min_ask_parts = parts.saturating_mul(ASK_GROWTH_FACTOR);
-        self.last_ask += 1;
+        self.last_ask_number += 1;
         self.ask = Some(OpenAsk {
-            number: self.last_ask,
+            number: self.last_ask_number,
             sent_at: now,
             closes_at: now + Duration::from_millis(self.settings.ask_period_ms),
             deficit_parts: parts,
@@ -352,7 +354,7 @@
         let needed = deficit.needed_until.saturating_duration_since(now);
         let needed_ms = u64::try_from(needed.as_millis()).unwrap_or(u64::MAX / 4);
         let needed_ms = needed_ms + 1 + self.settings.grant_reuse_ms;
-        AskFields { number: self.last_ask, parts, needed_ms }
+        AskFields { number: self.last_ask_number, parts, needed_ms }
     }
 }
 
--- a/tests/power/power.rs
+++ b/tests/power/power.rs
@@ -89,7 +89,7 @@
 }
 
 /// Request that a server runs.
-struct Work {
+struct RunningRequest {
     request: RequestId,
     /// Instance that started it.
     instance: InstanceId,
@@ -133,13 +133,13 @@
     log: FakeLog,
     nodes: Vec<Node>,
     messages: Vec<DelayedMessage>,
-    work: Vec<Work>,
+    running: Vec<RunningRequest>,
     documents: Vec<Arc<Document>>,
     edited: usize,
     counter: u64,
     peak_watts: u64,
     reclaimed: usize,
-    /// Whether each server ran work, at each step so far.
+    /// Whether each server ran any request, at each step so far.
     busy: Vec<[bool; SERVERS]>,
     transfers: usize,
 }
@@ -155,7 +155,7 @@
             log: FakeLog::default(),
             nodes: Vec::new(),
             messages: Vec::new(),
-            work: Vec::new(),
+            running: Vec::new(),
             documents: BUDGETS_WATTS.iter().map(|watts| document(*watts)).collect(),
             edited: 0,
             counter: 0,
@@ -221,8 +221,8 @@
             Op::Demand { node, server, work_ms } => {
                 self.nodes[*node].demand = work_ms.map(|work_ms| (*server, work_ms));
             }
-            Op::Finish { pick } if !self.work.is_empty() => {
-                let work = self.work.swap_remove(pick % self.work.len());
+            Op::Finish { pick } if !self.running.is_empty() => {
+                let work = self.running.swap_remove(pick % self.running.len());
                 self.finish(&work);
             }
             Op::Finish { .. } => {}
@@ -263,7 +263,7 @@
             return false;
         }
         let late_ms = self.random.u64(..self.settings.transit_ms);
-        self.work.push(Work {
+        self.running.push(RunningRequest {
             request: start.request,
             instance: node.instance.clone(),
             server,
@@ -276,7 +276,7 @@
     }
 
     /// Reports the end of a request to its node, if that still runs.
-    fn finish(&self, work: &Work) {
+    fn finish(&self, work: &RunningRequest) {
         if let Some(node) = self.nodes.iter().find(|node| node.instance == work.instance) {
             node.account.finish(&work.request);
         }
@@ -304,7 +304,7 @@
         let budget = self.edited;
         self.nodes[index].budget = budget;
         let instance = self.nodes[index].instance.clone();
-        for work in self.work.iter_mut().filter(|work| work.instance == instance) {
+        for work in self.running.iter_mut().filter(|work| work.instance == instance) {
             work.budget_watts = BUDGETS_WATTS[budget];
         }
         let document = Arc::clone(&self.documents[budget]);
@@ -316,11 +316,12 @@
         self.log.advance(self.now_ms);
         self.deliver_messages();
         let now_ms = self.now_ms;
-        let (ended, running) =
-            std::mem::take(&mut self.work).into_iter().partition(|work| work.ends_at_ms <= now_ms);
-        self.work = running;
+        let (ended, running) = std::mem::take(&mut self.running)
+            .into_iter()
+            .partition(|work| work.ends_at_ms <= now_ms);
+        self.running = running;
         ended.iter().for_each(|work| self.finish(work));
-        let is_busy = |server| self.work.iter().any(|work| work.server == server);
+        let is_busy = |server| self.running.iter().any(|work| work.server == server);
         self.busy.push(std::array::from_fn(is_busy));
         for index in 0..self.nodes.len() {
             if self.is_paused(index) {
@@ -445,12 +446,12 @@
     fn shed(&mut self, requests: &[RequestId], account: &PowerAccount) {
         for request in requests {
             account.finish(request);
-            let Some(shed) = self.work.iter().position(|work| work.request == *request) else {
+            let Some(shed) = self.running.iter().position(|work| work.request == *request) else {
                 continue;
             };
-            let shed = self.work.swap_remove(shed);
-            let mut kept = self.work.iter().filter(|work| work.instance == shed.instance);
-            let later = |work: &Work| !requests.contains(&work.request);
+            let shed = self.running.swap_remove(shed);
+            let mut kept = self.running.iter().filter(|work| work.instance == shed.instance);
+            let later = |work: &RunningRequest| !requests.contains(&work.request);
             let is_lowest = kept.all(|work| !later(work) || work.priority >= shed.priority);
             assert!(is_lowest, "{request} was shed before work of lower priority");
         }
@@ -460,9 +461,9 @@
     /// instance whose requests still run.
     fn check(&mut self) {
         let draw_watts =
-            SERVERS as u64 * IDLE_WATTS + self.work.iter().map(|work| work.watts).sum::<u64>();
+            SERVERS as u64 * IDLE_WATTS + self.running.iter().map(|work| work.watts).sum::<u64>();
         let in_force = self.nodes.iter().map(|node| BUDGETS_WATTS[node.budget]);
-        let left_behind = self.work.iter().map(|work| work.budget_watts);
+        let left_behind = self.running.iter().map(|work| work.budget_watts);
         let budget_watts = in_force.chain(left_behind).max().unwrap_or(0);
         self.peak_watts = self.peak_watts.max(draw_watts);
         assert!(
@@ -617,7 +618,7 @@
     let target_watts = (BUDGETS_WATTS[0] - SERVERS as u64 * IDLE_WATTS) * 9 / 10;
     world.nodes[0].demand = Some((0, 20_000));
     let is_below_target = |world: &World| {
-        let drawn_watts: u64 = world.work.iter().map(|work| work.watts).sum();
+        let drawn_watts: u64 = world.running.iter().map(|work| work.watts).sum();
         drawn_watts < target_watts && world.now_ms < started_at_ms + 60_000
     };
     while is_below_target(&world) {
