--- a/src/decision/claims/progress.rs
+++ b/src/decision/claims/progress.rs
@@ -215,7 +215,7 @@
         }
     }
 
-    /// Removes a local claim; on the log it still owns its key.
+    /// Removes a local claim; a key that it owns on the log stays owned.
     fn remove_expired_claim(&mut self, key: KeyHash, commands: &mut Vec<ClaimCommand>) {
         self.kept_answers.remove(key);
         let Some(local) = self.local_claims.remove(&key) else { return };
--- a/src/decision/claims/settings.rs
+++ b/src/decision/claims/settings.rs
@@ -63,7 +63,7 @@
         faults.require(
             claim_ms < MIN_RETENTION_MARGIN_MS && claim_ms <= 2 * self.clock_skew_ms,
             format!("{path}.claim_timeout_ms"),
-            "must be, with claim_reuse_ms, below a minute and 2 * clock_skew_ms",
+            "must, together with claim_reuse_ms, be below a minute and at most 2 * clock_skew_ms",
         );
         faults.require(self.appends_per_s > 0, format!("{path}.appends_per_s"), "must be above 0");
     }
--- a/src/decision/leaving/mod.rs
+++ b/src/decision/leaving/mod.rs
@@ -30,7 +30,7 @@
 /// Notice to partners that a server is leaving.
 #[derive(Clone, Debug, Eq, Hash, Ord, PartialEq, PartialOrd, Deserialize, Serialize)]
 pub struct LeavingNotice {
-    /// ServerEntry.
+    /// The server.
     pub server: ServerId,
     /// Incarnation that is leaving, 0 if unknown because only the instance list has shown it.
     pub incarnation: Incarnation,
@@ -43,7 +43,7 @@
     InstanceList(Vec<InstanceRecord>),
     /// A server reported its load.
     LoadReport {
-        /// ServerEntry.
+        /// The server.
         server: ServerId,
         /// Incarnation of the server.
         incarnation: Incarnation,
@@ -136,7 +136,7 @@
         changes
     }
 
-    /// Applies a server that the list shows as leaving. Only the first such list counts: a list that
+    /// Applies a server that the list shows as leaving. Only the first such list counts: one that
     /// still shows it as leaving says nothing about a later incarnation.
     fn apply_listed_leaving(&mut self, name: &ServerId, now: Instant) -> Option<LeavingChange> {
         let server = self.servers.entry(name.clone()).or_default();
@@ -149,8 +149,8 @@
         self.add_notice(notice, LeavingSource::InstanceList, now)
     }
 
-    /// Applies a server that the list shows as live. It is available again if an earlier list showed
-    /// it as leaving; otherwise the list may merely lag behind the other sources.
+    /// Applies a server that the list shows as live. It is available again if an earlier list
+    /// showed it as leaving; otherwise the list may merely lag behind the other sources.
     fn apply_listed_live(&mut self, name: &ServerId) -> Option<LeavingChange> {
         let server = self.servers.get_mut(name)?;
         if !std::mem::take(&mut server.is_listed_leaving) {
