--- a/src/decision/mod.rs
+++ b/src/decision/mod.rs
@@ -1,4 +1,4 @@
-//! Pure decisions: each takes its state, an event and the time, and returns commands.
+//! Pure decision logic: state, an event and the time in, commands out.
 
 pub mod admission;
 pub mod claims;
--- a/src/decision/routing/baseline.rs
+++ b/src/decision/routing/baseline.rs
@@ -1,4 +1,4 @@
-//! Policies that ours is measured against.
+//! Routing policies for comparison with the scoring policy.
 
 use super::homes::ranked_servers;
 use super::messages::{RouteQuery, RouteReason};
@@ -6,7 +6,7 @@
 use std::sync::atomic::Ordering;
 
 impl RoutingView {
-    /// Takes the servers in turn.
+    /// Chooses the servers round-robin.
     pub(super) fn round_robin<'a>(
         &self,
         eligible: &'a [EligibleServer<'_>],
@@ -16,7 +16,7 @@
         Some((chosen, RouteReason::Turn))
     }
 
-    /// Takes the server with the fewest requests of this node under way.
+    /// Chooses the server with the fewest requests of this node in progress, ties round-robin.
     pub(super) fn least_outstanding<'a>(
         &self,
         eligible: &'a [EligibleServer<'_>],
@@ -29,7 +29,7 @@
         Some((chosen, RouteReason::LeastOutstanding))
     }
 
-    /// Takes the first home of the outermost level.
+    /// Chooses the first home of the outermost level, by rendezvous hashing.
     pub(super) fn prefix_hash<'a>(
         &self,
         query: &RouteQuery,
--- a/src/decision/routing/config.rs
+++ b/src/decision/routing/config.rs
@@ -2,66 +2,72 @@
 
 use std::time::Duration;
 
-/// Settings of the routing decision; the document holds what operators change.
+/// Settings of the routing decision that operators cannot change; the document has the others.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RoutingConfig {
-    /// Prefixes that beliefs are kept of.
+    /// Maximum number of prefixes in the index.
     pub max_prefixes: usize,
-    /// Holders that are remembered of a prefix.
+    /// Maximum number of holders per prefix.
     pub max_holders: usize,
-    /// Age at which a belief in a server of unknown cache lifetime is worth 1/e.
+    /// Initial estimate of a server's cache lifetime: the age since last use at which a prefix is
+    /// still cached with probability 1/e.
     pub initial_cache_lifetime: Duration,
-    /// Bounds of the cache lifetime that is learnt of a server.
+    /// Lower bound of the estimated cache lifetime.
     pub min_cache_lifetime: Duration,
-    /// Upper bound of the learnt cache lifetime; older beliefs are dropped.
+    /// Upper bound of the estimated cache lifetime; older index entries are removed.
     pub max_cache_lifetime: Duration,
-    /// Factor on the trust in beliefs that are older than a gap in the server's events.
+    /// Factor on the cached probability of prefixes last used before a gap in the cache events.
     pub event_gap_factor: f64,
-    /// Probability that a home holds a prefix that this node has no belief of.
+    /// Probability that a home has a prefix cached that the index says nothing about.
     pub home_cached_probability: f64,
-    /// Time constant with which a home that came back empty holds its prefixes again.
+    /// Time constant with which requests refill the cache of a restarted home.
     pub cache_refill_time: Duration,
-    /// Factor on the trust in a holder that is no home: other nodes do not keep its copy in use.
+    /// Factor on the cached probability of a holder that is not a home: other nodes send it no
+    /// requests that would keep the prefix in its cache.
     pub non_home_holder_factor: f64,
-    /// Factor on the home trust for the first server after the homes, and again for the second.
+    /// Factor on the home's cached probability for each rank after the last home.
     pub fallback_home_factor: f64,
-    /// Weight of the delay that a prefill causes to the requests behind it.
+    /// Weight of the delay that a prefill causes to the requests queued behind it.
     pub delay_weight: f64,
-    /// Prompt tokens assumed to be computed for a request before any was observed.
+    /// Prompt tokens that a request is assumed to prefill before any request was observed.
     pub initial_prefilled_tokens: f64,
-    /// Time constant of the request rates of prefixes.
+    /// Time constant of the decayed request counts of prefixes.
     pub rate_window: Duration,
-    /// Share of a server's concurrent requests that one prefix may fill before it gets a home more.
+    /// Fraction of a server's concurrent requests that one prefix may use before it gets another
+    /// home.
     pub max_home_utilisation: f64,
-    /// Factor below which the load of a prefix has to fall before it loses a home.
+    /// Fraction of the next smaller number of homes that the load must fall below before the
+    /// prefix loses a home.
     pub home_shrink_factor: f64,
-    /// Homes of one prefix at most.
+    /// Maximum number of homes of a prefix.
     pub max_homes: u32,
-    /// Servers of a model up to which every one is scored.
+    /// Maximum number of a model's servers for which every server is scored.
     pub max_full_scan_servers: usize,
-    /// Servers sampled beside homes and holders when not every one is scored.
+    /// Servers sampled in addition to homes and holders when not every server is scored.
     pub sampled_servers: usize,
-    /// Share of the other nodes that is assumed to send as this node does since a load report.
+    /// Fraction of the other nodes assumed to have sent the same load as this node since the last
+    /// load report.
     pub correlated_node_fraction: f64,
-    /// Multiple of a server's concurrent requests that the nodes together may have under way on it.
+    /// Multiple of a server's concurrent requests that all nodes together may have in progress on
+    /// it.
     pub overload_factor: f64,
-    /// Time constant with which the other nodes' part of a load report loses its weight.
+    /// Time constant with which the other nodes' load in a report decays.
     pub report_decay_time: Duration,
-    /// Age at which what a report says of loaded models is no longer relied on.
+    /// Age after which a report no longer shows that a model is not loaded.
     pub model_report_lifetime: Duration,
-    /// Time constant with which a server's excess wait is forgotten.
+    /// Time constant with which a server's excess wait decays.
     pub excess_wait_decay_time: Duration,
-    /// Time a server gets no request after its first failure; doubles with each further one.
+    /// Backoff after a server's first failure; doubles with each consecutive failure.
     pub min_backoff: Duration,
-    /// Longest time a server gets no request after failures.
+    /// Upper bound of the backoff.
     pub max_backoff: Duration,
-    /// Seconds of occupancy assumed of a request before any was observed.
+    /// Seconds for which a request is assumed to occupy a server before any was observed.
     pub initial_occupancy_s: f64,
-    /// Time that an import from the KV store takes beside the transfer.
+    /// Time that an import from the KV store takes in addition to the transfer.
     pub import_overhead: Duration,
-    /// Time for which an answer of the KV store is relied on.
+    /// Time for which an answer of the KV store stays valid.
     pub store_answer_lifetime: Duration,
-    /// Weight of a server's used share of concurrent requests, in seconds.
+    /// Seconds added to the score per unit of utilisation (requests over concurrent requests).
     pub utilisation_cost_s: f64,
 }
 
--- a/src/decision/routing/explain.rs
+++ b/src/decision/routing/explain.rs
@@ -1,4 +1,4 @@
-//! What the view knows of a prompt and of the servers, for the administration API.
+//! Routing state of a prompt and of the servers, for the administration API.
 
 use super::RoutingView;
 use super::messages::PrefixLevel;
@@ -9,62 +9,62 @@
 use std::sync::Arc;
 use std::time::Instant;
 
-/// What is known of one level of a prompt.
+/// Cache state of one prompt level, as this node knows it.
 #[derive(Clone, Debug, Deserialize, JsonSchema, PartialEq, Serialize)]
 pub struct LevelBelief {
-    /// Key in hexadecimal.
+    /// Prefix key in hexadecimal.
     pub prefix_key: String,
     /// Bytes of the prompt up to the end of the level.
     pub bytes: u32,
     /// Estimated tokens up to the end of the level.
     pub tokens: u32,
-    /// Tokens that the KV store keeps, none if it was not asked lately.
+    /// Tokens in the KV store, none without a recent answer of the store.
     pub kept_tokens: Option<u32>,
-    /// Servers believed to hold the prefix.
+    /// Servers believed to have the prefix cached.
     pub holders: Vec<BelievedHolder>,
 }
 
-/// Server believed to hold a prefix.
+/// Server believed to have a prefix cached.
 #[derive(Clone, Debug, Deserialize, JsonSchema, PartialEq, Serialize)]
 pub struct BelievedHolder {
-    /// Server.
+    /// Name of the server.
     pub server: ServerId,
-    /// Incarnation that stored the prefix.
+    /// Incarnation that cached the prefix.
     pub incarnation: Incarnation,
     /// Milliseconds since the last known use.
     pub used_ms_ago: u64,
 }
 
-/// Backend server as this node sees it.
+/// State of a backend server, as this node knows it.
 #[derive(Clone, Debug, Deserialize, JsonSchema, PartialEq, Serialize)]
 pub struct ServerBelief {
-    /// Server.
+    /// Name of the server.
     pub server: ServerId,
-    /// Address.
+    /// Address of the server.
     pub address: SocketAddr,
-    /// Whether it gets new work.
+    /// Whether the server may get new requests.
     pub in_service: bool,
-    /// Whether it is listed or reports itself as leaving.
+    /// Whether the server is listed or reports itself as leaving.
     pub leaving: bool,
-    /// Failures in a row.
+    /// Consecutive failures.
     pub failures: u32,
-    /// Requests of this node under way.
+    /// Requests of this node in progress on the server.
     pub own_requests: u32,
-    /// Requests running or waiting by its last report, none without a report.
+    /// Running and waiting requests in the last load report, none without a report.
     pub reported_requests: Option<u32>,
-    /// Milliseconds since that report was asked for.
+    /// Milliseconds since the last load report was requested.
     pub reported_ms_ago: Option<u64>,
-    /// Models loaded by its last report.
+    /// Models loaded according to the last load report.
     pub models: Vec<ModelId>,
 }
 
 impl RoutingView {
-    /// Returns what is known of each level of a prompt.
+    /// Returns the cache state of each level of a prompt.
     pub fn level_beliefs(&self, levels: &[PrefixLevel], now: Instant) -> Vec<LevelBelief> {
         levels.iter().map(|level| self.level_belief(level, now)).collect()
     }
 
-    /// Returns the servers of the document as this node sees them, in the order of their names.
+    /// Returns the state of each server in the document, ordered by name.
     pub fn server_beliefs(&self, now: Instant) -> Vec<ServerBelief> {
         let known = self.servers.iter().map(Arc::as_ref);
         let mut servers: Vec<ServerBelief> = known
--- a/src/decision/routing/feedback.rs
+++ b/src/decision/routing/feedback.rs
@@ -1,4 +1,4 @@
-//! What reports, cache events and answers teach the routing state.
+//! Updates of the routing state by load reports, cache events, answers and the KV store.
 
 use super::RoutingState;
 use super::fleet::ServerIndex;
@@ -11,9 +11,9 @@
 use std::sync::Arc;
 use std::time::Instant;
 
-/// Tokens of an engine's cache block; only whole blocks are cached.
+/// Tokens in a cache block of an engine; only whole blocks are cached.
 const BLOCK_TOKENS: f64 = 16.0;
-/// Prefixes that wait to be asked for at the KV store.
+/// Maximum number of prefixes queued for a query to the KV store.
 const MAX_STORE_QUERIES: usize = 64;
 
 impl RoutingState {
@@ -111,7 +111,7 @@
         self.prefixes.add_holder(key, holder, &self.config, now);
     }
 
-    /// Notes that the KV store should be asked for `key`, unless its answer is still relied on.
+    /// Queues `key` for a query to the KV store unless its last answer is still valid.
     fn queue_store_query(&mut self, key: u64, now: Instant) {
         let stored = self.prefixes.get(key).and_then(|entry| entry.stored);
         let is_known = stored.is_some_and(|stored| now < stored.valid_until);
@@ -127,13 +127,13 @@
         let info = state.info.as_ref();
         HomeCountInputs {
             live_nodes: self.live_nodes,
-            occupancy_s: state.occupancy_s,
+            occupancy_s: state.mean_occupancy_s,
             concurrent_requests: info.map_or(1, |info| info.concurrent_requests),
             servers: self.servers.len(),
         }
     }
 
-    /// Compares what was cached with what was believed when the server was chosen.
+    /// Updates the server's cache lifetime by whether the expected prefix was in fact cached.
     fn learn_cache_lifetime(&mut self, answer: &AnswerFeedback, timing: &AnswerTiming) {
         let config = Arc::clone(&self.config);
         let Some(level) = timing.expectation.cached_level else { return };
@@ -152,10 +152,10 @@
         let prefilled_tokens = answer.prompt_tokens.saturating_sub(answer.cached_tokens);
         self.update_server(&answer.server, |state| {
             let Some(info) = state.info.clone() else { return };
-            // Without the wait, which would make a queue look like demand for more homes.
+            // Excludes the queue wait, which would look like demand for more homes.
             let decode = timing.ended_at.saturating_duration_since(timing.first_token_at);
             let prefill_s = f64::from(prefilled_tokens) / prefill_tokens_per_s;
-            state.observe_request(decode.as_secs_f64() + prefill_s, prefilled_tokens);
+            state.observe_request_cost(decode.as_secs_f64() + prefill_s, prefilled_tokens);
             let first_token = timing.first_token_at.saturating_duration_since(timing.sent_at);
             let expected_s = f64::from(prefilled_tokens) / prefill_tokens_per_s
                 + 2.0 * info.link_delay.as_secs_f64()
@@ -173,7 +173,8 @@
 }
 
 impl ServerState {
-    /// Takes in the head of a page of events; returns false if it is of a retired incarnation.
+    /// Updates incarnation, event position and gaps by `page`; returns false if its incarnation is
+    /// retired.
     fn apply_page(&mut self, page: &CacheEventPage, now: Instant) -> bool {
         let before = self.incarnations.confirmed();
         if !self.observe_incarnation(page.incarnation, now) {
@@ -199,10 +200,10 @@
     }
 }
 
-/// Returns whether the prompt was cached up to `bytes`, but for a part of an engine's block.
+/// Returns whether the prompt was cached up to `bytes`, except for a partial block at the end.
 fn was_cached(answer: &AnswerFeedback, bytes: u32) -> bool {
     let prompt_bytes = answer.levels.last().map_or(1, |level| level.bytes.max(1));
-    let share = f64::from(bytes) / f64::from(prompt_bytes);
-    let tokens = f64::from(answer.prompt_tokens) * share;
+    let fraction = f64::from(bytes) / f64::from(prompt_bytes);
+    let tokens = f64::from(answer.prompt_tokens) * fraction;
     f64::from(answer.cached_tokens) + BLOCK_TOKENS >= tokens
 }
--- a/src/decision/routing/fleet.rs
+++ b/src/decision/routing/fleet.rs
@@ -1,4 +1,4 @@
-//! Backend servers and models of the document, in the dense form that decisions work on.
+//! Backend servers and models of the document, indexed for routing decisions.
 
 use crate::document::{Document, ScoreWeights};
 use crate::types::{
@@ -11,10 +11,10 @@
 use std::time::Duration;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Index of a server in the routing state; a server keeps it while the process runs.
+/// Index of a server in the routing state; constant while the process runs.
 pub type ServerIndex = u32;
 
-/// Requests of this node under way on a server, shared by all views.
+/// Counters of this node's requests in progress on a server, shared by all views.
 #[derive(Debug, Default)]
 pub struct ServerCounters {
     outstanding_requests: AtomicU32,
@@ -22,78 +22,78 @@
 }
 
 impl ServerCounters {
-    /// Returns the requests under way.
+    /// Returns the number of requests in progress.
     pub fn outstanding_requests(&self) -> u32 {
         self.outstanding_requests.load(Ordering::Relaxed)
     }
 
-    /// Returns the prompt tokens of requests under way whose first token has not come.
+    /// Returns the expected prefill tokens of the requests that await their first token.
     pub fn pending_prefill_tokens(&self) -> u64 {
         self.pending_prefill_tokens.load(Ordering::Relaxed)
     }
 
-    /// Counts a request as under way.
+    /// Counts a request that is about to be sent.
     pub fn begin_request(&self, pending_prefill_tokens: u32) {
         self.outstanding_requests.fetch_add(1, Ordering::Relaxed);
         self.pending_prefill_tokens.fetch_add(u64::from(pending_prefill_tokens), Ordering::Relaxed);
     }
 
-    /// Takes back the prompt tokens of a request whose first token has come.
+    /// Subtracts the prefill tokens of a request whose first token was received.
     pub fn finish_prefill(&self, pending_prefill_tokens: u32) {
         self.pending_prefill_tokens.fetch_sub(u64::from(pending_prefill_tokens), Ordering::Relaxed);
     }
 
-    /// Ends the count of a request.
+    /// Subtracts a request that ended.
     pub fn end_request(&self) {
         self.outstanding_requests.fetch_sub(1, Ordering::Relaxed);
     }
 }
 
-/// What the document says of a server.
+/// Settings of a server in the document.
 #[derive(Clone, Debug)]
 pub struct ServerInfo {
-    /// Name.
+    /// Name of the server.
     pub id: ServerId,
-    /// Address.
+    /// Address of the server.
     pub address: SocketAddr,
     /// One-way delay from this node.
     pub link_delay: Duration,
-    /// Requests that the server runs at once.
+    /// Requests that the server runs concurrently, at least 1.
     pub concurrent_requests: u32,
     /// Hash of the name, for rendezvous hashing.
     pub name_hash: u64,
-    /// Requests of this node under way.
+    /// Requests of this node in progress.
     pub counters: Arc<ServerCounters>,
 }
 
-/// What the document says of a model.
+/// Settings of a model in the document.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ModelInfo {
     /// Version of the weights in force.
     pub weights_version: WeightsVersion,
-    /// Prompt tokens that a server computes a second.
+    /// Prompt tokens that a server prefills per second.
     pub prefill_tokens_per_s: f64,
-    /// Tokens of kept KV cache that a server imports a second.
+    /// Tokens that a server imports from the KV store per second.
     pub import_tokens_per_s: f64,
-    /// Least number of servers that serve the model.
+    /// Minimum number of servers that serve the model.
     pub min_servers: usize,
 }
 
-/// Names, models and workspaces of the document; changes with the document alone.
+/// Server indexes, models and workspaces; changes only with the document.
 #[derive(Clone, Debug, Default)]
 pub struct Fleet {
-    /// Index of each server, also of those that left the document.
+    /// Index of each server, including those removed from the document.
     pub indexes: HashMap<ServerId, ServerIndex>,
-    /// Models and their adapters.
+    /// Models, and adapters with the settings of their model.
     pub models: HashMap<ModelId, ModelInfo>,
-    /// Weights of the score by workspace.
+    /// Score weights by workspace.
     pub score_weights: HashMap<WorkspaceId, ScoreWeights>,
-    /// Offset of the document.
+    /// Log offset of the document.
     pub document_offset: LogOffset,
 }
 
 impl Fleet {
-    /// Returns the fleet of `document`; servers that have an index keep it.
+    /// Returns the fleet of `document`; servers keep the index that they already have.
     pub fn updated(&self, document: &Document) -> Self {
         let mut indexes = self.indexes.clone();
         for id in document.servers.keys() {
@@ -113,7 +113,9 @@
         Self {
             indexes,
             models: models.collect(),
-            score_weights: workspaces.map(|(id, it)| (id.clone(), it.score)).collect(),
+            score_weights: workspaces
+                .map(|(id, workspace)| (id.clone(), workspace.score))
+                .collect(),
             document_offset: document.offset,
         }
     }
@@ -124,25 +126,25 @@
     }
 }
 
-/// Returns what `document` says of `server`, seen from `own_zone`.
+/// Returns the settings of `server` in `document`, with the link delay from `own_zone`.
 pub fn server_info(
     document: &Document,
     server: &ServerId,
     own_zone: &AvailabilityZone,
     counters: Arc<ServerCounters>,
 ) -> Option<ServerInfo> {
-    let raw = document.servers.get(server)?;
+    let settings = document.servers.get(server)?;
     Some(ServerInfo {
         id: server.clone(),
-        address: raw.address,
-        link_delay: link_delay(document, own_zone, &raw.availability_zone),
-        concurrent_requests: raw.concurrent_requests.max(1),
+        address: settings.address,
+        link_delay: link_delay(document, own_zone, &settings.availability_zone),
+        concurrent_requests: settings.concurrent_requests.max(1),
         name_hash: xxh3_64(server.as_bytes()),
         counters,
     })
 }
 
-/// Returns the one-way delay between two zones, 0 within a zone or where none is given.
+/// Returns the one-way delay between two zones, 0 within a zone or without a configured link.
 fn link_delay(document: &Document, from: &AvailabilityZone, to: &AvailabilityZone) -> Duration {
     if from == to {
         return Duration::ZERO;
@@ -153,7 +155,7 @@
     link.map_or(Duration::ZERO, |link| Duration::from_micros(u64::from(link.delay_us)))
 }
 
-/// Incarnations of a server: the last one seen and some before it, which never come back.
+/// Incarnations of a server: the last one seen, and the retired ones before it.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Incarnations {
     last_seen: Option<Incarnation>,
@@ -162,22 +164,24 @@
 }
 
 impl Incarnations {
-    /// Returns the present incarnation, none while it is unknown.
+    /// Returns the current incarnation, none while it is unknown or unconfirmed.
     pub fn confirmed(&self) -> Option<Incarnation> {
         self.last_seen.filter(|_| self.is_confirmed)
     }
 
-    /// Returns the last incarnation seen.
+    /// Returns the last incarnation seen, confirmed or not.
     pub fn last_seen(&self) -> Option<Incarnation> {
         self.last_seen
     }
 
-    /// Takes in that the server may have come back empty; the next answer confirms or denies it.
+    /// Marks the incarnation as unconfirmed, since the server may have restarted, until the next
+    /// answer.
     pub fn mark_unconfirmed(&mut self) {
         self.is_confirmed = false;
     }
 
-    /// Takes in that `seen` answered; returns false if it is a retired one, whose news is stale.
+    /// Records that incarnation `seen` answered; returns false if it is retired, so that its answer
+    /// is stale.
     pub fn observe(&mut self, seen: Incarnation) -> bool {
         if self.retired.contains(&Some(seen)) {
             return false;
--- a/src/decision/routing/homes.rs
+++ b/src/decision/routing/homes.rs
@@ -1,21 +1,21 @@
-//! Homes of a prefix: the servers that all nodes send it to without exchanging a message.
+//! Home servers of a prefix by rendezvous hashing, on which all nodes agree without messages.
 
 use super::config::RoutingConfig;
 use super::fleet::ServerIndex;
 use std::time::{Duration, Instant};
 
-/// Server with its rank for a prefix; the highest is the first home.
+/// Server with its rendezvous hash for a prefix; the highest hash is the first home.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub struct RankedServer {
     /// Rendezvous hash of the server's name and the prefix key.
     pub hash: u64,
-    /// Server.
+    /// Index of the server.
     pub server: ServerIndex,
 }
 
 /// Returns the rendezvous hash of a server's name hash and a prefix key.
 ///
-/// The finaliser of SplitMix64: every bit of both inputs reaches every bit of the result.
+/// Uses the finaliser of SplitMix64, so that each input bit affects every bit of the result.
 pub fn rendezvous_hash(name_hash: u64, key: u64) -> u64 {
     let mut mixed = (name_hash ^ key.rotate_left(32)).wrapping_add(0x9e37_79b9_7f4a_7c15);
     mixed = (mixed ^ (mixed >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
@@ -23,26 +23,26 @@
     mixed ^ (mixed >> 31)
 }
 
-/// Returns the `count` servers of highest rank for `key`, best first.
+/// Returns the `count` servers with the highest rendezvous hash for `key`, highest first.
 pub fn ranked_servers(
     servers: impl Iterator<Item = (ServerIndex, u64)>,
     key: u64,
     count: usize,
 ) -> Vec<RankedServer> {
-    let mut best: Vec<RankedServer> = Vec::with_capacity(count + 1);
+    let mut top: Vec<RankedServer> = Vec::with_capacity(count + 1);
     for (server, name_hash) in servers {
         let ranked = RankedServer { hash: rendezvous_hash(name_hash, key), server };
-        if best.len() == count && best.last().is_none_or(|last| ranked <= *last) {
+        if top.len() == count && top.last().is_none_or(|last| ranked <= *last) {
             continue;
         }
-        let position = best.partition_point(|better| *better > ranked);
-        best.insert(position, ranked);
-        best.truncate(count);
+        let position = top.partition_point(|better| *better > ranked);
+        top.insert(position, ranked);
+        top.truncate(count);
     }
-    best
+    top
 }
 
-/// Exponentially decayed count of a prefix's requests from this node, and its number of homes.
+/// Exponentially decayed count of this node's requests for a prefix, and its number of homes.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct PrefixRate {
     count: f32,
@@ -50,21 +50,21 @@
     counted_at: Instant,
 }
 
-/// What the number of homes is worked out from.
+/// Inputs to the number of homes of a prefix.
 #[derive(Clone, Copy, Debug)]
 pub struct HomeCountInputs {
     /// Live nodes, this one included.
     pub live_nodes: u32,
     /// Seconds for which a request occupies a server.
     pub occupancy_s: f64,
-    /// Requests that a server runs at once.
+    /// Requests that a server runs concurrently.
     pub concurrent_requests: u32,
-    /// Servers that could be homes.
+    /// Number of known servers, an upper bound of the homes.
     pub servers: usize,
 }
 
 impl PrefixRate {
-    /// Returns the rate of a prefix that was not requested yet.
+    /// Returns the rate of a prefix that has not been requested.
     pub fn new(now: Instant) -> Self {
         Self { count: 0.0, home_count: 1, counted_at: now }
     }
@@ -74,12 +74,12 @@
         self.home_count
     }
 
-    /// Returns the requests a second from this node.
+    /// Returns this node's requests per second, averaged over `window`.
     pub fn requests_per_s(&self, window: Duration, now: Instant) -> f64 {
         self.decayed_count(window, now) / window.as_secs_f64()
     }
 
-    /// Counts a request and adjusts the number of homes.
+    /// Counts a request and updates the number of homes.
     pub fn record_request(
         &mut self,
         inputs: HomeCountInputs,
@@ -106,9 +106,10 @@
     }
 }
 
-/// Returns the homes after a load of `wanted` homes' worth was seen.
+/// Returns the new number of homes of a prefix whose load fills `needed_homes` homes.
 ///
-/// It grows at once and shrinks by one at a time, when the load would fit well into one home less.
+/// The number grows at once. It shrinks by one at a time, and only when the load is well below what
+/// one home less can take, so that a steady rate at a boundary does not change it back and forth.
 fn adjusted_home_count(
     home_count: u32,
     needed_homes: f64,
--- a/src/decision/routing/load.rs
+++ b/src/decision/routing/load.rs
@@ -1,4 +1,4 @@
-//! Load of the servers: their reports, what this node sent since, and corrections by observation.
+//! Load of a server: its last report, this node's requests since then, and learnt corrections.
 
 use super::config::RoutingConfig;
 use super::fleet::{Incarnations, ServerInfo};
@@ -7,92 +7,93 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// Weight of a new observation in a smoothed value.
+/// Weight of a new observation in the moving averages of a server.
 const SMOOTHING: f64 = 0.2;
-/// Least factor on the trust in a home that came back empty; keeps its prefixes to it.
+/// Lower bound of the refilled cache fraction of a restarted home, so that its prefixes still go
+/// to it.
 const MIN_REFILLED_FRACTION: f64 = 0.2;
-/// Weight of a new observation in the wait that is typical of all servers.
+/// Weight of a new observation in the average excess wait of all servers.
 const FLEET_SMOOTHING: f64 = 0.05;
 /// Seconds by which a first token may be late without counting as excess wait.
 const WAIT_TOLERANCE_S: f64 = 0.02;
-/// Share of the expected time by which it may be late beside that.
+/// Fraction of the expected time by which it may be late in addition.
 const WAIT_TOLERANCE_FRACTION: f64 = 0.1;
 
-/// State of a server.
+/// Routing state of a server.
 #[derive(Clone, Debug)]
 pub struct ServerState {
-    /// What the document says; none if it no longer names the server.
+    /// Settings in the document, none if the server was removed from it.
     pub info: Option<Arc<ServerInfo>>,
-    /// Whether the server is listed as leaving.
+    /// Whether the node's list of leaving servers has the server.
     pub is_listed_leaving: bool,
-    /// Whether the server says that it is leaving.
+    /// Whether the server's last report says that it is leaving.
     pub is_reported_leaving: bool,
-    /// Incarnations.
+    /// Current and retired incarnations.
     pub incarnations: Incarnations,
-    /// When the server was last found to have come back empty.
+    /// When a restart, which empties the cache, was last detected.
     pub restarted_at: Option<Instant>,
-    /// Last report.
+    /// Last load report.
     pub last_report: Option<ReportedLoad>,
-    /// Failures in a row.
+    /// Consecutive failures.
     pub consecutive_failures: u32,
-    /// Until when the server gets no request after failures.
+    /// When the backoff after failures ends.
     pub backoff_until: Option<Instant>,
-    /// Wait beyond the expected one.
+    /// Time to first token beyond the expected one.
     pub excess_wait: ExcessWait,
-    /// Seconds for which a request occupies the server.
-    pub occupancy_s: f64,
-    /// Prompt tokens that a request had computed, on average.
-    pub prefilled_tokens: f64,
-    /// Seconds after which a belief is worth 1/e.
+    /// Mean seconds for which a request occupies the server.
+    pub mean_occupancy_s: f64,
+    /// Mean prompt tokens that a request prefills.
+    pub mean_prefilled_tokens: f64,
+    /// Age since last use at which a prefix is still cached with probability 1/e, in seconds.
     pub cache_lifetime_s: f64,
-    /// When events were last found missing.
+    /// When a gap in the cache events was last detected.
     pub event_gap_at: Option<Instant>,
-    /// Sequence number of the next cache event.
+    /// Sequence number of the next cache event to request.
     pub next_event: u64,
 }
 
-/// What a report said, and what this node had under way then.
+/// Load report, and this node's requests in progress when it was received.
 #[derive(Clone, Debug)]
 pub struct ReportedLoad {
-    /// When the node asked for the report.
+    /// When the report was requested.
     pub asked_at: Instant,
-    /// Requests running or waiting.
+    /// Running and waiting requests.
     pub requests: u32,
-    /// Requests waiting.
+    /// Waiting requests.
     pub waiting_requests: u32,
-    /// Prompt tokens waiting.
+    /// Prompt tokens of the waiting requests.
     pub waiting_prompt_tokens: u64,
-    /// Sequence number of the next cache event.
+    /// Sequence number of the server's next cache event.
     pub next_event: u64,
-    /// This node's requests under way when the report came.
+    /// This node's requests in progress when the report was received.
     pub own_requests: u32,
-    /// This node's prompt tokens under way when the report came.
+    /// This node's pending prefill tokens when the report was received.
     pub own_pending_prefill_tokens: u64,
-    /// Models loaded.
+    /// Loaded models.
     pub models: Arc<[LoadedModel]>,
-    /// Until when the absence of a model from `models` is relied on.
+    /// When the absence of a model from `models` stops counting as evidence.
     pub absence_valid_until: Instant,
 }
 
-/// Whether a server serves a model in the version in force.
+/// Whether a server serves a model with the weights version in force.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Serving {
-    /// It reported so.
+    /// The last report has the model in that version.
     Yes,
-    /// It lately reported otherwise.
+    /// A recent report does not have it.
     No,
-    /// There is no report, or one too old to rely on.
+    /// No report, or one too old to rule the model out.
     Unknown,
 }
 
-/// Exponentially forgotten excess of the observed over the expected wait.
+/// Exponentially decaying excess of the observed over the expected wait.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ExcessWait {
     seconds: f64,
     observed_at: Option<Instant>,
 }
 
-/// Observed and expected time to a first token.
+/// Observed and expected time to first token.
 #[derive(Clone, Copy, Debug)]
 pub struct TimeToFirstToken {
     /// Observed seconds.
@@ -102,14 +103,14 @@
 }
 
 impl ExcessWait {
-    /// Returns the excess in seconds, forgotten with time constant `lifetime`.
+    /// Returns the excess in seconds, decayed with time constant `decay_time`.
     pub fn seconds(&self, decay_time: Duration, now: Instant) -> f64 {
         let Some(observed_at) = self.observed_at else { return 0.0 };
         let age = now.saturating_duration_since(observed_at);
         self.seconds * (-age.as_secs_f64() / decay_time.as_secs_f64()).exp()
     }
 
-    /// Takes in the time of a first token; what is `typical` of all servers is no excess.
+    /// Updates the excess by an observation; the average lateness of the `fleet` does not count.
     pub fn observe(
         &mut self,
         time: TimeToFirstToken,
@@ -131,17 +132,17 @@
     }
 }
 
-/// Load of a server as this node estimates it.
+/// Estimated load of a server.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LoadEstimate {
-    /// Requests running or waiting.
+    /// Running and waiting requests.
     pub requests: f64,
-    /// Prompt tokens waiting to be computed.
+    /// Prompt tokens waiting for prefill.
     pub pending_prefill_tokens: f64,
 }
 
 impl ServerState {
-    /// Returns the state of a server that nothing was heard of.
+    /// Returns the state of a server that has not been contacted.
     pub fn new(info: Option<Arc<ServerInfo>>, config: &RoutingConfig) -> Self {
         Self {
             info,
@@ -153,25 +154,25 @@
             consecutive_failures: 0,
             backoff_until: None,
             excess_wait: ExcessWait::default(),
-            occupancy_s: config.initial_occupancy_s,
-            prefilled_tokens: config.initial_prefilled_tokens,
+            mean_occupancy_s: config.initial_occupancy_s,
+            mean_prefilled_tokens: config.initial_prefilled_tokens,
             cache_lifetime_s: config.initial_cache_lifetime.as_secs_f64(),
             event_gap_at: None,
             next_event: 0,
         }
     }
 
-    /// Returns whether the server may get new work, apart from a backoff.
+    /// Returns whether the server may get new requests, ignoring its backoff.
     pub fn is_in_service(&self) -> bool {
         self.info.is_some() && !self.is_listed_leaving && !self.is_reported_leaving
     }
 
-    /// Returns whether the server is left alone after failures.
+    /// Returns whether the server is in backoff after failures.
     pub fn is_backing_off(&self, now: Instant) -> bool {
         self.backoff_until.is_some_and(|until| now < until)
     }
 
-    /// Takes in a report; one that was asked for before the last is ignored.
+    /// Applies a load report; ignores one that was requested before the last.
     pub fn apply_report(
         &mut self,
         report: &LoadReport,
@@ -201,7 +202,7 @@
         });
     }
 
-    /// Takes in that `seen` answered; returns false if it is a retired incarnation.
+    /// Records that incarnation `seen` answered; returns false if it is retired.
     pub fn observe_incarnation(&mut self, seen: Incarnation, now: Instant) -> bool {
         let before = self.incarnations.last_seen();
         let is_current = self.incarnations.observe(seen);
@@ -211,7 +212,7 @@
         is_current
     }
 
-    /// Takes in that a request failed; the server is left alone for a while.
+    /// Records a failed request and starts an exponential backoff.
     pub fn record_failure(&mut self, config: &RoutingConfig, now: Instant) {
         let doublings = self.consecutive_failures.min(16);
         let backoff = config.min_backoff.saturating_mul(1 << doublings).min(config.max_backoff);
@@ -220,13 +221,13 @@
         self.incarnations.mark_unconfirmed();
     }
 
-    /// Takes in that the server answered.
+    /// Records an answer, which ends the backoff.
     pub fn record_success(&mut self) {
         self.consecutive_failures = 0;
         self.backoff_until = None;
     }
 
-    /// Returns whether the server serves `model` in `version`.
+    /// Returns whether the server serves `model` with weights `version`.
     pub fn serving(&self, model: &ModelId, version: &WeightsVersion, now: Instant) -> Serving {
         let Some(report) = &self.last_report else { return Serving::Unknown };
         let is_loaded =
@@ -237,45 +238,51 @@
         if now < report.absence_valid_until { Serving::No } else { Serving::Unknown }
     }
 
-    /// Returns the load: the last report and what all nodes are thought to have sent since.
+    /// Returns the last reported load plus the estimated load that all nodes have sent since then.
     pub fn load(&self, live_nodes: u32, config: &RoutingConfig, now: Instant) -> LoadEstimate {
         let Some(info) = &self.info else {
             return LoadEstimate { requests: 0.0, pending_prefill_tokens: 0.0 };
         };
         let own_requests = f64::from(info.counters.outstanding_requests());
         let own_tokens = info.counters.pending_prefill_tokens() as f64;
-        let others = f64::from(live_nodes.saturating_sub(1)) * config.correlated_node_fraction;
+        let effective_other_nodes =
+            f64::from(live_nodes.saturating_sub(1)) * config.correlated_node_fraction;
         let Some(report) = &self.last_report else {
             return LoadEstimate {
-                requests: own_requests * (1.0 + others),
-                pending_prefill_tokens: own_tokens * (1.0 + others),
+                requests: own_requests * (1.0 + effective_other_nodes),
+                pending_prefill_tokens: own_tokens * (1.0 + effective_other_nodes),
             };
         };
         let age_s = now.saturating_duration_since(report.asked_at).as_secs_f64();
         let weight = (-age_s / config.report_decay_time.as_secs_f64()).exp();
-        let reported_own = f64::from(report.own_requests);
-        let of_others = (f64::from(report.requests) - reported_own).max(0.0) * weight;
-        let sent_since = (own_requests - reported_own).max(0.0);
+        let reported_own_requests = f64::from(report.own_requests);
+        let requests_of_others =
+            (f64::from(report.requests) - reported_own_requests).max(0.0) * weight;
+        let requests_since_report = (own_requests - reported_own_requests).max(0.0);
         let reported_own_tokens = report.own_pending_prefill_tokens as f64;
-        // A report may count cached tokens as waiting.
-        let waiting_limit = f64::from(report.waiting_requests) * self.prefilled_tokens;
-        let waiting = (report.waiting_prompt_tokens as f64).min(waiting_limit);
-        let tokens_of_others = (waiting - reported_own_tokens).max(0.0) * weight;
-        let tokens_since = (own_tokens - reported_own_tokens).max(0.0);
+        // Waiting tokens in a report may include cached ones, which need no prefill.
+        let waiting_limit = f64::from(report.waiting_requests) * self.mean_prefilled_tokens;
+        let waiting_tokens = (report.waiting_prompt_tokens as f64).min(waiting_limit);
+        let tokens_of_others = (waiting_tokens - reported_own_tokens).max(0.0) * weight;
+        let tokens_since_report = (own_tokens - reported_own_tokens).max(0.0);
         LoadEstimate {
-            requests: own_requests + of_others + sent_since * others,
-            pending_prefill_tokens: own_tokens + tokens_of_others + tokens_since * others,
+            requests: own_requests
+                + requests_of_others
+                + requests_since_report * effective_other_nodes,
+            pending_prefill_tokens: own_tokens
+                + tokens_of_others
+                + tokens_since_report * effective_other_nodes,
         }
     }
 
-    /// Takes in for how long a request occupied the server, and what it had computed.
-    pub fn observe_request(&mut self, occupancy_s: f64, prefilled_tokens: u32) {
-        self.occupancy_s += (occupancy_s - self.occupancy_s) * SMOOTHING;
+    /// Updates the means by a request's occupancy and prefilled tokens.
+    pub fn observe_request_cost(&mut self, occupancy_s: f64, prefilled_tokens: u32) {
+        self.mean_occupancy_s += (occupancy_s - self.mean_occupancy_s) * SMOOTHING;
         let prefilled_tokens = f64::from(prefilled_tokens);
-        self.prefilled_tokens += (prefilled_tokens - self.prefilled_tokens) * SMOOTHING;
+        self.mean_prefilled_tokens += (prefilled_tokens - self.mean_prefilled_tokens) * SMOOTHING;
     }
 
-    /// Takes in whether a belief of age `age_s` turned out to be right.
+    /// Adjusts the cache lifetime by whether a prefix last used `age_s` ago was still cached.
     pub fn observe_cache_age(&mut self, age_s: f64, was_cached: bool, config: &RoutingConfig) {
         let lifetime_s = self.cache_lifetime_s;
         let target_s = match was_cached {
@@ -283,18 +290,19 @@
             false if age_s < lifetime_s => age_s,
             true | false => return,
         };
-        let learnt_s = lifetime_s + (target_s - lifetime_s) * SMOOTHING;
+        let smoothed_s = lifetime_s + (target_s - lifetime_s) * SMOOTHING;
         let min_s = config.min_cache_lifetime.as_secs_f64();
         let max_s = config.max_cache_lifetime.as_secs_f64();
-        self.cache_lifetime_s = learnt_s.clamp(min_s, max_s);
+        self.cache_lifetime_s = smoothed_s.clamp(min_s, max_s);
     }
 
-    /// Returns the probability that the server holds a prefix that it is a home of.
+    /// Returns the probability that the server has a prefix cached that it is a home of.
     ///
-    /// One that has come back empty is filled again by the requests of all nodes.
+    /// It is low while the incarnation is unconfirmed; after a restart it rises as the requests of
+    /// all nodes refill the cache.
     pub fn home_cached_probability(&self, config: &RoutingConfig, now: Instant) -> f64 {
-        let is_in_doubt = self.incarnations.last_seen() != self.incarnations.confirmed();
-        if is_in_doubt {
+        let is_unconfirmed = self.incarnations.last_seen() != self.incarnations.confirmed();
+        if is_unconfirmed {
             return config.home_cached_probability * MIN_REFILLED_FRACTION;
         }
         let Some(restarted_at) = self.restarted_at else { return config.home_cached_probability };
@@ -303,7 +311,7 @@
         config.home_cached_probability * refilled.max(MIN_REFILLED_FRACTION)
     }
 
-    /// Returns the probability that what the server used at `used_at` is still cached.
+    /// Returns the probability that a prefix last used at `used_at` is still cached.
     pub fn cached_probability(
         &self,
         used_at: Instant,
@@ -312,9 +320,8 @@
     ) -> f64 {
         let age_s = now.saturating_duration_since(used_at).as_secs_f64();
         let by_age = (-age_s / self.cache_lifetime_s).exp();
-        let is_before_event_gap =
-            self.event_gap_at.is_some_and(|event_gap_at| used_at < event_gap_at);
-        if is_before_event_gap { by_age * config.event_gap_factor } else { by_age }
+        let is_before_gap = self.event_gap_at.is_some_and(|event_gap_at| used_at < event_gap_at);
+        if is_before_gap { by_age * config.event_gap_factor } else { by_age }
     }
 }
 
--- a/src/decision/routing/messages.rs
+++ b/src/decision/routing/messages.rs
@@ -1,4 +1,4 @@
-//! Messages of the routing decision.
+//! Events, queries and decisions of routing.
 
 use crate::document::Document;
 use crate::ports::{CacheEventPage, LoadReport};
@@ -9,7 +9,7 @@
 use std::time::Instant;
 use strum::{Display, EnumString, IntoStaticStr};
 
-/// Level of a prompt: the prefix up to its end.
+/// Level of a prompt: one of the nested prefixes into which it is cut.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct PrefixLevel {
     /// Key of the prefix, seeded with workspace, model and weights version.
@@ -18,7 +18,7 @@
     pub bytes: u32,
     /// Estimated tokens up to the end of the level.
     pub tokens: u32,
-    /// Whether the homes of the request are chosen by this level; true for one level of a prompt.
+    /// Whether this level's key chooses the homes of the request; true for one level of a prompt.
     pub anchor: bool,
 }
 
@@ -27,77 +27,77 @@
 pub enum RoutingEvent {
     /// The document in force changed.
     Document(Arc<Document>),
-    /// Servers that must get no new work.
+    /// The set of leaving servers, which get no new requests, changed.
     Leaving(BTreeSet<ServerId>),
-    /// A server reported its load.
+    /// A load report of a server was received.
     Load {
-        /// Server.
+        /// Server that sent the report.
         server: ServerId,
-        /// Report.
+        /// Load report.
         report: LoadReport,
-        /// When the node asked for the report.
+        /// When the report was requested.
         asked_at: Instant,
     },
-    /// A server published cache events.
+    /// A page of a server's cache events was received.
     CacheEvents {
-        /// Server.
+        /// Server that published the events.
         server: ServerId,
-        /// Events.
+        /// Page of events.
         page: CacheEventPage,
     },
     /// A request was sent to a server.
     Sent(SentRequest),
     /// A server completed an answer.
     Answer(AnswerFeedback),
-    /// A request failed on a server without an answer.
+    /// A request to a server failed without an answer.
     ServerFailed {
-        /// Server.
+        /// Server that failed.
         server: ServerId,
     },
     /// The number of live nodes, this one included, changed.
     LiveNodes(u32),
-    /// The KV store told what it keeps.
+    /// The KV store answered which prefixes it has stored.
     StoredPrefixes(Vec<StoredPrefix>),
 }
 
-/// Prefix that the store of kept KV cache was asked for.
+/// Answer of the KV store for one queried prefix.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct StoredPrefix {
     /// Key of the prefix.
     pub key: u64,
-    /// Tokens kept under it, 0 if none.
+    /// Tokens stored under the key, 0 if none.
     pub tokens: u32,
 }
 
 /// Request that was sent to a server.
 #[derive(Clone, Debug)]
 pub struct SentRequest {
-    /// Server.
+    /// Server that the request was sent to.
     pub server: ServerId,
-    /// Second best server, which may be used next.
+    /// Second best server, which a retry may use.
     pub runner_up: Option<ServerId>,
     /// Levels of the prompt.
     pub levels: Vec<PrefixLevel>,
 }
 
-/// What an answer says about a server's cache.
+/// Completed answer, from which routing learns the server's cache and speed.
 #[derive(Clone, Debug)]
 pub struct AnswerFeedback {
     /// Server that answered.
     pub server: ServerId,
     /// Incarnation of the server when it answered.
     pub incarnation: Incarnation,
-    /// Model.
+    /// Requested model.
     pub model: ModelId,
-    /// Workspace.
+    /// Workspace of the caller.
     pub workspace: WorkspaceId,
     /// Levels of the prompt.
     pub levels: Vec<PrefixLevel>,
-    /// Tokens of the prompt.
+    /// Tokens of the prompt, counted by the engine.
     pub prompt_tokens: u32,
-    /// Prompt tokens that came from the cache.
+    /// Prompt tokens that came from the cache, counted by the engine.
     pub cached_tokens: u32,
-    /// Times of the request, none if the answer was pieced together from several servers.
+    /// Times of the request, none if several servers produced the answer.
     pub timing: Option<AnswerTiming>,
 }
 
@@ -106,101 +106,101 @@
 pub struct AnswerTiming {
     /// When the request was sent.
     pub sent_at: Instant,
-    /// When the first token came.
+    /// When the first token was received.
     pub first_token_at: Instant,
     /// When the answer was complete.
     pub ended_at: Instant,
-    /// What the choice of the server rested on.
+    /// What was expected of the server when it was chosen.
     pub expectation: Expectation,
 }
 
-/// Question to the routing decision.
+/// Request for which a server is to be chosen.
 #[derive(Clone, Debug)]
 pub struct RouteQuery {
-    /// Request.
+    /// Identifier of the request.
     pub request: RequestId,
-    /// Workspace.
+    /// Workspace of the caller.
     pub workspace: WorkspaceId,
-    /// Model.
+    /// Requested model.
     pub model: ModelId,
     /// Levels of the prompt, outermost first; the last ends with the prompt.
     pub levels: Vec<PrefixLevel>,
-    /// Servers that the request must not run on again.
+    /// Servers that the request must not be sent to.
     pub excluded: Vec<ServerId>,
 }
 
-/// Choice of a server.
+/// Server chosen for a request.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RouteDecision {
     /// Chosen server.
     pub server: ServerId,
     /// Address of the server.
     pub address: SocketAddr,
-    /// Second best server.
+    /// Second best server, if any.
     pub runner_up: Option<ServerId>,
-    /// Prompt tokens expected from the server's cache.
+    /// Prompt tokens expected to come from the server's cache.
     pub expected_hit_tokens: u32,
-    /// Requests believed to wait on the server.
+    /// Estimated running and waiting requests of the server.
     pub queued_requests: u32,
-    /// Reason of the choice.
+    /// Why the server was chosen.
     pub reason: RouteReason,
-    /// Prefix keys to import from the KV store first.
+    /// Prefix keys to import from the KV store before the prefill.
     pub import_keys: Vec<u64>,
-    /// What the choice rests on; handed back with the answer.
+    /// What is expected of the server; returned with the answer for learning.
     pub expectation: Expectation,
 }
 
-/// What a choice rests on.
+/// Expectation of a chosen server, to compare with the answer.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Expectation {
-    /// Expected wait before the server starts on the prompt, by report and count alone.
+    /// Expected queue wait by reports and request counts, without the learnt excess wait.
     pub wait_ms: u32,
-    /// Innermost level that the server was believed to hold.
+    /// Innermost level that the server was believed to have cached.
     pub cached_level: Option<CachedLevel>,
     /// Whether the server is a home of the request.
     pub is_home: bool,
 }
 
-/// Level that a server was believed to hold.
+/// Prompt level that a server was believed to have cached.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct CachedLevel {
     /// Bytes of the prompt up to the end of the level.
     pub bytes: u32,
-    /// When the server last stored or used it.
+    /// When the server last cached or used it.
     pub used_at: Instant,
 }
 
-/// Reason of a choice.
+/// Why a server was chosen.
 #[derive(Clone, Copy, Debug, Display, Eq, IntoStaticStr, PartialEq)]
 #[strum(serialize_all = "snake_case")]
 pub enum RouteReason {
-    /// The server is believed to hold the longest prefix.
+    /// The server is believed to have a prefix of the prompt cached.
     CachedPrefix,
     /// The server is a home of the prefix.
     Home,
-    /// The homes are loaded; the server has the least expected time to the first token.
+    /// The homes are loaded, and another server has the best score.
     Spill,
     /// The server imports the prefix from the KV store.
     Import,
-    /// The policy takes servers in turn.
+    /// The policy chooses servers round-robin.
     Turn,
-    /// The server has the fewest requests under way.
+    /// The server has the fewest requests in progress.
     LeastOutstanding,
 }
 
-/// Routing policy: ours and the baselines it is measured against.
+/// Routing policy: the scoring policy, and baselines for comparison.
 #[derive(
     Clone, Copy, Debug, Default, Display, Eq, EnumString, IntoStaticStr, PartialEq, strum::EnumIter,
 )]
 #[strum(serialize_all = "snake_case")]
 pub enum RoutingPolicy {
-    /// Servers in turn.
+    /// Servers round-robin.
     RoundRobin,
-    /// Fewest requests under way from this node.
+    /// Server with the fewest requests in progress from this node.
     LeastOutstanding,
-    /// Consistent hash of the first level.
+    /// Rendezvous hash of the outermost level.
     PrefixHash,
-    /// Homes, beliefs and expected time to the first token.
+    /// Score by expected time to first token, cached prefixes and homes.
     #[default]
     Coriandertide,
 }
--- a/src/decision/routing/mod.rs
+++ b/src/decision/routing/mod.rs
@@ -1,7 +1,7 @@
 //! Choice of a backend server for a model request.
 //!
-//! The control thread owns a [`RoutingState`] and applies events to it; traffic threads decide on
-//! the [`RoutingView`] it publishes.
+//! The control thread owns a [`RoutingState`] and applies events to it; traffic threads choose
+//! servers by the [`RoutingView`] that it publishes.
 
 mod baseline;
 pub mod config;
@@ -34,7 +34,7 @@
 use std::time::Instant;
 use view::ModelServers;
 
-/// State behind routing decisions, owned by the control thread.
+/// Mutable state of routing, owned by the control thread.
 #[derive(Clone, Debug)]
 pub struct RoutingState {
     policy: RoutingPolicy,
@@ -44,10 +44,14 @@
     servers: imbl::Vector<Arc<ServerState>>,
     models: Arc<HashMap<ModelId, ModelServers>>,
     prefixes: PrefixIndex,
+    /// Prefix keys to query the KV store for.
     store_queries: VecDeque<u64>,
     live_nodes: u32,
+    /// Average excess wait of all servers, which counts against none of them.
     fleet_excess_wait: ExcessWait,
+    /// When the first report stops ruling out a model, so that `models` must be recomputed.
     models_valid_until: Option<Instant>,
+    /// Counter of the round-robin choices, shared by all views.
     next_turn: Arc<AtomicUsize>,
 }
 
@@ -100,7 +104,7 @@
         }
     }
 
-    /// Returns the view that traffic threads decide on; it shares all parts with the state.
+    /// Returns an immutable view for the traffic threads; it shares its data with the state.
     pub fn view(&self) -> RoutingView {
         RoutingView {
             policy: self.policy,
@@ -114,20 +118,21 @@
         }
     }
 
-    /// Returns the prefixes known.
+    /// Returns the prefix index.
     pub fn prefixes(&self) -> &PrefixIndex {
         &self.prefixes
     }
 
-    /// Takes up to `limit` prefixes that the KV store should be asked for.
+    /// Removes and returns up to `limit` prefix keys that the KV store should be queried for.
     pub fn take_store_queries(&mut self, limit: usize) -> Vec<u64> {
         let count = self.store_queries.len().min(limit);
         self.store_queries.drain(..count).collect()
     }
 
-    /// Returns the sequence number to ask `server` for cache events from.
+    /// Returns the sequence number from which to request the cache events of `server`.
     ///
-    /// Events that a page of `page_events` cannot hold are skipped: late news is worse than none.
+    /// Skips the oldest events if more than `max_events` are due: recent events matter more than a
+    /// complete sequence.
     pub fn next_event_sequence(&mut self, server: &ServerId, max_events: u64) -> u64 {
         let mut from = 0;
         self.update_server(server, |state| {
@@ -175,7 +180,7 @@
         }
     }
 
-    /// Works out anew which servers may serve each model.
+    /// Recomputes which servers may serve each model.
     fn update_models(&mut self, now: Instant) {
         let reports = self.servers.iter().filter_map(|state| state.last_report.as_ref());
         let deadlines = reports.map(|report| report.absence_valid_until);
@@ -187,7 +192,8 @@
         self.models = Arc::new(models.collect());
     }
 
-    /// Returns the servers that report the model; too few are filled up with those not heard of.
+    /// Returns the servers that report the model; if they are fewer than the minimum, also those
+    /// whose models are unknown.
     fn model_servers(
         &self,
         model: &ModelId,
--- a/src/decision/routing/poll.rs
+++ b/src/decision/routing/poll.rs
@@ -1,4 +1,4 @@
-//! Plans which servers to ask for load reports and cache events within a byte budget.
+//! Plans which servers to poll for load reports and cache events within a byte budget.
 
 use crate::types::ServerId;
 use std::collections::HashMap;
@@ -7,19 +7,19 @@
 /// Settings of the poll planner.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PollConfig {
-    /// Bytes a second that all polls together may take.
+    /// Bytes per second for all polls together.
     pub budget_bytes_per_s: f64,
     /// Bytes that may be spent at once after a pause.
     pub burst_bytes: f64,
-    /// Share of the budget that cache events take; load reports take the rest.
+    /// Fraction of the budget for cache events; load reports get the rest.
     pub events_fraction: f64,
-    /// Time between load reports of a server in use.
+    /// Time between load polls of a server in use.
     pub load_interval: Duration,
-    /// Time between pages of cache events of a server in use.
+    /// Time between cache event polls of a server in use.
     pub events_interval: Duration,
-    /// Time after its last use for which a server counts as in use.
+    /// Time after its last use during which a server is polled.
     pub in_use_period: Duration,
-    /// Bytes assumed of an answer before one was seen.
+    /// Estimated bytes of an answer before the first one.
     pub initial_answer_bytes: f64,
     /// Time after which a poll without an answer may be repeated.
     pub poll_timeout: Duration,
@@ -40,25 +40,25 @@
     }
 }
 
-/// What a server is asked for.
+/// What a poll requests from a server.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub enum PollKind {
     /// Load report.
     Load,
-    /// Cache events.
+    /// Page of cache events.
     CacheEvents,
 }
 
 /// Poll to send.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct PollRequest {
-    /// Server.
+    /// Server to poll.
     pub server: ServerId,
-    /// What to ask for.
+    /// What to request.
     pub kind: PollKind,
 }
 
-/// Poll of one kind to one server.
+/// Schedule of one kind of poll to one server.
 #[derive(Clone, Copy, Debug)]
 struct PollState {
     due_at: Instant,
@@ -76,7 +76,7 @@
     }
 }
 
-/// Server that is polled.
+/// Server in use, with its poll schedules.
 #[derive(Clone, Copy, Debug)]
 struct PolledServer {
     in_use_until: Instant,
@@ -84,18 +84,18 @@
     events: PollState,
 }
 
-/// Budget of one kind of poll.
+/// Byte budget of one kind of poll.
 #[derive(Clone, Copy, Debug)]
 struct PollBudget {
-    /// Share of the whole budget.
+    /// Fraction of the whole budget.
     fraction: f64,
-    /// Bytes that may be spent now; below 0 after an answer that was larger than expected.
+    /// Bytes that may be spent now; negative after an answer larger than the mean.
     available_bytes: f64,
-    /// Mean bytes of an answer.
+    /// Moving average of the bytes of an answer.
     mean_answer_bytes: f64,
 }
 
-/// Chooses the polls; the control thread sends them and reports what they cost.
+/// Chooses the polls; the control thread sends them and reports the bytes that they cost.
 #[derive(Clone, Debug)]
 pub struct PollPlanner {
     config: PollConfig,
@@ -122,7 +122,7 @@
         }
     }
 
-    /// Takes in that `server` is used, or about to be.
+    /// Marks `server` as in use, or about to be.
     pub fn mark_used(&mut self, server: &ServerId, now: Instant) {
         let in_use_until = now + self.config.in_use_period;
         if let Some(known) = self.servers.get_mut(server) {
@@ -133,19 +133,19 @@
         self.servers.insert(server.clone(), PolledServer { in_use_until, load, events });
     }
 
-    /// Takes in that a load report came with an answer, so that none need be asked for yet.
+    /// Postpones the next load poll of `server`, whose load report came with an answer.
     pub fn postpone_load_poll(&mut self, server: &ServerId, now: Instant) {
         if let Some(known) = self.servers.get_mut(server) {
             known.load.due_at = known.load.due_at.max(now + self.config.load_interval);
         }
     }
 
-    /// Forgets a server that left the document.
+    /// Removes a server that is no longer in the document.
     pub fn remove_server(&mut self, server: &ServerId) {
         self.servers.remove(server);
     }
 
-    /// Returns the polls to send now, the longest overdue first.
+    /// Returns the polls to send now: of each kind the longest overdue first, within its budget.
     pub fn plan(&mut self, now: Instant) -> Vec<PollRequest> {
         self.refill(now);
         self.servers.retain(|_, server| now < server.in_use_until);
@@ -156,7 +156,7 @@
         polls
     }
 
-    /// Takes in that a poll was answered with `bytes`, or failed after `bytes`.
+    /// Completes a poll that was answered, or failed, after `bytes`.
     pub fn complete(&mut self, poll: &PollRequest, bytes: usize) {
         let bytes = bytes as f64;
         let state = self.servers.get_mut(&poll.server).map(|server| server.state(poll.kind));
@@ -169,7 +169,7 @@
         budget.available_bytes += charged_bytes - bytes;
     }
 
-    /// Returns the time at which the next poll may be due, none if no server is in use.
+    /// Returns when the next poll may be due, none if no server is in use.
     pub fn next_due_at(&self) -> Option<Instant> {
         self.servers.values().map(|server| server.load.due_at.min(server.events.due_at)).min()
     }
--- a/src/decision/routing/prefix.rs
+++ b/src/decision/routing/prefix.rs
@@ -1,4 +1,4 @@
-//! Cuts the prompt of a request into levels and names each by a key.
+//! Cuts the prompt of a request into levels, each with the key of the prefix that ends there.
 
 use super::messages::PrefixLevel;
 use crate::types::{ModelId, WeightsVersion, WorkspaceId};
@@ -6,28 +6,29 @@
 use std::borrow::Cow;
 use xxhash_rust::xxh3::{Xxh3, xxh3_64_with_seed};
 
-/// Bytes of prompt that count as one token.
+/// Prompt bytes estimated as one token.
 pub const BYTES_PER_TOKEN: usize = 4;
-/// Bytes between the levels of text that has no messages to cut at.
+/// Bytes per level of text without message boundaries.
 const CUT_INTERVAL_BYTES: usize = 2_048;
-/// Levels of one prompt at most; the last reaches to the end of the prompt.
+/// Maximum number of levels; the last one ends with the prompt.
 const MAX_LEVELS: usize = 32;
-/// Least bytes that a chat message adds to be the anchor of a request.
+/// Minimum bytes of a chat message that can be the anchor of a request.
 const MIN_ANCHOR_BYTES: usize = 512;
 
-/// What the keys of a request are seeded with.
+/// Isolation scope of prefix keys: equal prompts in different scopes have different keys.
 #[derive(Clone, Copy, Debug)]
 pub struct PrefixScope<'a> {
     /// Workspace of the caller.
     pub workspace: &'a WorkspaceId,
-    /// Model.
+    /// Requested model.
     pub model: &'a ModelId,
     /// Version of the model's weights.
     pub weights_version: &'a WeightsVersion,
 }
 
 impl PrefixScope<'_> {
-    /// Returns the seed of the outermost key; parts are separated so that none runs into the next.
+    /// Returns the seed of the outermost key; hashes the length of each part, so that no two scopes
+    /// concatenate to the same bytes.
     fn seed(&self) -> u64 {
         let mut hasher = Xxh3::new();
         for part in [self.workspace, self.model, self.weights_version] {
@@ -40,8 +41,8 @@
 
 /// Returns the levels of the prompt in `body`, a chat or completion request, outermost first.
 ///
-/// Each chat message ends a level; a completion prompt and an oversize last message are cut at
-/// fixed byte boundaries. The last level ends with the prompt.
+/// Each chat message ends a level. A completion prompt and a long last message are cut at fixed
+/// byte boundaries. The last level ends with the prompt.
 pub fn prompt_levels(scope: PrefixScope<'_>, body: &Value) -> Vec<PrefixLevel> {
     let mut chain = KeyChain::new(scope.seed());
     match body.get("messages").and_then(Value::as_array) {
@@ -70,7 +71,7 @@
     }
 }
 
-/// Returns the text of a prompt or message content; parts of a list are joined.
+/// Returns the text of a prompt or message content; concatenates the parts of a list.
 fn text_of(value: &Value) -> Cow<'_, str> {
     match value {
         Value::String(text) => Cow::Borrowed(text),
@@ -86,16 +87,16 @@
     }
 }
 
-/// How the end of a level was found.
+/// Kind of boundary at the end of a level.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 enum CutKind {
     /// End of a chat message.
     Message,
-    /// Fixed byte boundary, or the end of text that is cut at them.
+    /// Fixed byte boundary, or the end of text cut at such boundaries.
     Boundary,
 }
 
-/// Chain of keys under construction.
+/// Builder of levels; each key hashes the text of its level, seeded with the key before it.
 struct KeyChain {
     key: u64,
     bytes: usize,
@@ -108,13 +109,13 @@
         Self { key: seed, bytes: 0, levels: Vec::new(), kinds: Vec::new() }
     }
 
-    /// Adds text to the prompt without ending a level.
+    /// Appends text without ending a level.
     fn extend(&mut self, segment: &[u8]) {
         self.key = xxh3_64_with_seed(segment, self.key);
         self.bytes += segment.len();
     }
 
-    /// Adds text to the prompt and ends a level.
+    /// Appends text and ends a level.
     fn push(&mut self, segment: &[u8], kind: CutKind) {
         self.extend(segment);
         self.levels.push(PrefixLevel {
@@ -126,7 +127,7 @@
         self.kinds.push(kind);
     }
 
-    /// Adds text cut at fixed byte boundaries.
+    /// Appends text cut into levels at fixed byte boundaries.
     fn push_cut(&mut self, mut text: &[u8]) {
         while text.len() > CUT_INTERVAL_BYTES && self.levels.len() + 1 < MAX_LEVELS {
             let (segment, rest) = text.split_at(CUT_INTERVAL_BYTES);
@@ -144,12 +145,12 @@
         self.levels
     }
 
-    /// Returns the index of the anchor, which depends on the prompt alone so that all nodes agree.
+    /// Returns the index of the anchor. It depends only on the prompt, so that all nodes agree.
     ///
-    /// It is the innermost message before the last that adds enough to be worth a home: short
-    /// turns of a conversation stay with the document they are about. Text without messages takes
-    /// the highest power of two of boundaries within three quarters of the levels, so that the
-    /// question at its end seldom reaches into the anchor.
+    /// The anchor is the innermost message before the last with at least [`MIN_ANCHOR_BYTES`], so
+    /// that the short turns of a conversation go to the homes of the document they are about.
+    /// Without such a message it ends the largest power of two of levels within the first three
+    /// quarters, so that the question at the end is seldom part of the anchor.
     fn anchor_index(&self) -> usize {
         let last = self.levels.len().saturating_sub(1);
         let by_message = (0..last).rev().find(|&index| {
--- a/src/decision/routing/prefix_index.rs
+++ b/src/decision/routing/prefix_index.rs
@@ -1,4 +1,4 @@
-//! What this node believes to be cached where, by prefix key.
+//! Bounded index of the prefixes that servers are believed to have cached, by prefix key.
 
 use super::config::RoutingConfig;
 use super::fleet::ServerIndex;
@@ -9,10 +9,10 @@
 use std::sync::Arc;
 use std::time::Instant;
 
-/// Entries that the eviction hand looks at for each new prefix.
+/// Entries examined for eviction for each new prefix.
 const EVICTION_SCAN_ENTRIES: usize = 3;
 
-/// Prefixes by key; a clone shares all entries.
+/// Prefix entries by key; a clone shares all entries.
 pub type PrefixMap = imbl::GenericHashMap<
     u64,
     Arc<PrefixEntry>,
@@ -20,7 +20,7 @@
     imbl::shared_ptr::DefaultSharedPtr,
 >;
 
-/// Hasher of prefix keys, which are hashes already.
+/// Pass-through hasher: prefix keys are hashes already.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct KeyHasher(u64);
 
@@ -38,36 +38,36 @@
     }
 }
 
-/// Server that is believed to hold a prefix.
+/// Server believed to have a prefix cached.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Holder {
-    /// Server.
+    /// Index of the server.
     pub server: ServerIndex,
-    /// Incarnation that stored the prefix; the belief is void for any other.
+    /// Incarnation that cached the prefix; a later one starts with an empty cache.
     pub incarnation: Incarnation,
-    /// When the server last stored or used the prefix, as far as this node knows.
+    /// Last known time at which the server cached or used the prefix.
     pub used_at: Instant,
 }
 
-/// Prefix kept by the KV store.
+/// Answer of the KV store for a prefix.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct StoredTokens {
-    /// Tokens kept, 0 if none.
+    /// Stored tokens, 0 if none.
     pub tokens: u32,
-    /// Until when the answer of the store is relied on.
+    /// When the answer expires.
     pub valid_until: Instant,
 }
 
-/// What is known of a prefix.
+/// Holders, request rate and stored tokens of a prefix.
 #[derive(Clone, Debug)]
 pub struct PrefixEntry {
-    /// Holders, at most one a server.
+    /// Holders, at most one entry per server.
     pub holders: Vec<Holder>,
-    /// Rate of requests from this node and the homes that follow from it.
+    /// Request rate from this node, and the number of homes derived from it.
     pub rate: PrefixRate,
-    /// What the KV store keeps, none if it was not asked.
+    /// Last answer of the KV store, none if it was not queried.
     pub stored: Option<StoredTokens>,
-    /// When the entry was last used.
+    /// When the entry was last updated.
     pub used_at: Instant,
 }
 
@@ -82,7 +82,7 @@
             return;
         }
         if self.holders.len() < max_holders {
-            // Most prefixes have one or two holders; a doubled capacity would cost more than they do.
+            // Most prefixes have one or two holders; amortised growth would waste memory.
             self.holders.reserve_exact(1);
             self.holders.push(holder);
             return;
@@ -94,7 +94,7 @@
     }
 }
 
-/// Index of believed prefixes, bounded in size.
+/// Index of prefixes, bounded in size; evicts entries that were not used recently.
 #[derive(Clone, Debug, Default)]
 pub struct PrefixIndex {
     entries: PrefixMap,
@@ -102,7 +102,7 @@
 }
 
 impl PrefixIndex {
-    /// Returns the entries; the clone shares them with the index.
+    /// Returns a clone of the entries that shares them with the index.
     pub fn entries(&self) -> PrefixMap {
         self.entries.clone()
     }
@@ -112,7 +112,7 @@
         self.entries.len()
     }
 
-    /// Returns whether nothing is known.
+    /// Returns whether the index has no prefixes.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
@@ -122,13 +122,13 @@
         self.entries.get(&key).map(Arc::as_ref)
     }
 
-    /// Takes in that `holder` holds the prefix `key`.
+    /// Adds or updates a holder of the prefix `key`; a full entry drops its oldest holder.
     pub fn add_holder(&mut self, key: u64, holder: Holder, config: &RoutingConfig, now: Instant) {
         let entry = self.entry_or_insert(key, config, now);
         entry.add_holder(holder, config.max_holders);
     }
 
-    /// Takes in that `server` no longer holds the prefix `key`.
+    /// Removes `server` from the holders of the prefix `key`.
     pub fn remove_holder(&mut self, key: u64, server: ServerIndex) {
         let is_held =
             |entry: &Arc<PrefixEntry>| entry.holders.iter().any(|holder| holder.server == server);
@@ -140,7 +140,7 @@
         }
     }
 
-    /// Returns the entry of `key`, made if it is new; a full index evicts another for it.
+    /// Returns the entry of `key`, created if missing; a full index evicts another one first.
     pub fn entry_or_insert(
         &mut self,
         key: u64,
@@ -157,7 +157,8 @@
         entry
     }
 
-    /// Drops expired entries under the hand and, in a full index, the least recently used of some.
+    /// Removes expired entries among those examined and, in a full index, the least recently used
+    /// of them.
     fn evict_entries(&mut self, config: &RoutingConfig, now: Instant) {
         let mut oldest: Option<u64> = None;
         let mut oldest_used_at = now;
@@ -183,10 +184,10 @@
         }
     }
 
-    /// Takes `key`, which the hand has just passed, off the hand's round.
+    /// Removes `key`, which [`Self::evict_entries`] has just put back, from the eviction queue.
     fn remove_requeued(&mut self, key: u64) {
         let from = self.eviction_queue.len().saturating_sub(EVICTION_SCAN_ENTRIES);
-        let position = self.eviction_queue.iter().skip(from).position(|&passed| passed == key);
+        let position = self.eviction_queue.iter().skip(from).position(|&requeued| requeued == key);
         if let Some(position) = position {
             self.eviction_queue.remove(from + position);
         }
--- a/src/decision/routing/score.rs
+++ b/src/decision/routing/score.rs
@@ -1,4 +1,4 @@
-//! Score of a server for a request: expected seconds, weighted as the workspace chose.
+//! Score of a server for a request: expected seconds, weighted by the settings of the workspace.
 
 use super::config::RoutingConfig;
 use super::fleet::{ModelInfo, ServerIndex, ServerInfo};
@@ -8,85 +8,87 @@
 use crate::document::ScoreWeights;
 use std::time::Instant;
 
-/// Probability from which a prefix counts as believed to be cached.
+/// Probability from which a prefix counts as likely cached.
 const MIN_CACHED_PROBABILITY: f64 = 0.5;
 
-/// Level of a prompt and what is known of its prefix.
+/// Prompt level with its entry in the prefix index.
 #[derive(Clone, Copy, Debug)]
-struct KnownLevel<'a> {
+struct IndexedLevel<'a> {
     level: PrefixLevel,
     entry: Option<&'a PrefixEntry>,
 }
 
-/// Levels of a prompt and what is known of each.
+/// Levels of a prompt, looked up in the prefix index.
 #[derive(Clone, Debug)]
 pub struct PromptLookup<'a> {
-    levels: Vec<KnownLevel<'a>>,
+    levels: Vec<IndexedLevel<'a>>,
     anchor: usize,
-    /// Tokens that the KV store keeps of the prompt.
+    /// Innermost level in the KV store.
     stored: Option<StoredLevel>,
 }
 
-/// Innermost level that the KV store keeps.
+/// Prompt level in the KV store, by its position.
 #[derive(Clone, Copy, Debug)]
 struct StoredLevel {
     index: usize,
     tokens: f64,
 }
 
-/// Tokens expected from a server's cache.
+/// Prompt tokens expected to come from a server's cache.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct ExpectedHit {
     /// Expected number of tokens.
     pub tokens: f64,
-    /// Whether a level beyond chance is believed to be cached.
+    /// Whether at least one level is likely cached.
     pub is_likely_cached: bool,
 }
 
 impl<'a> PromptLookup<'a> {
-    /// Returns what `prefixes` says of `levels`.
+    /// Looks `levels` up in `prefixes`.
     pub fn new(levels: &[PrefixLevel], prefixes: &'a PrefixMap, now: Instant) -> Self {
-        let known = |level: &PrefixLevel| {
+        let indexed = |level: &PrefixLevel| {
             let entry = prefixes.get(&level.key).map(AsRef::as_ref);
-            KnownLevel { level: *level, entry }
+            IndexedLevel { level: *level, entry }
         };
-        let levels: Vec<KnownLevel<'a>> = levels.iter().map(known).collect();
-        let anchor = levels.iter().position(|known| known.level.anchor).unwrap_or(0);
+        let levels: Vec<IndexedLevel<'a>> = levels.iter().map(indexed).collect();
+        let anchor = levels.iter().position(|indexed| indexed.level.anchor).unwrap_or(0);
         let stored = stored_level(&levels, now);
         Self { levels, anchor, stored }
     }
 
-    /// Returns the tokens of the prompt.
+    /// Returns the estimated tokens of the prompt.
     pub fn tokens(&self) -> u32 {
-        self.levels.last().map_or(0, |known| known.level.tokens)
+        self.levels.last().map_or(0, |indexed| indexed.level.tokens)
     }
 
-    /// Returns the key of the anchor.
+    /// Returns the key of the anchor level.
     pub fn anchor_key(&self) -> u64 {
-        self.levels.get(self.anchor).map_or(0, |known| known.level.key)
+        self.levels.get(self.anchor).map_or(0, |indexed| indexed.level.key)
     }
 
-    /// Returns the number of homes of the anchor.
+    /// Returns the number of homes of the anchor level.
     pub fn home_count(&self) -> u32 {
-        let entry = self.levels.get(self.anchor).and_then(|known| known.entry);
+        let entry = self.levels.get(self.anchor).and_then(|indexed| indexed.entry);
         entry.map_or(1, |entry| entry.rate.home_count())
     }
 
-    /// Returns the servers that are believed to hold some level.
+    /// Returns the servers believed to have some level cached, possibly repeated.
     pub fn holders(&self) -> impl Iterator<Item = ServerIndex> + '_ {
-        let entries = self.levels.iter().rev().filter_map(|known| known.entry);
+        let entries = self.levels.iter().rev().filter_map(|indexed| indexed.entry);
         entries.flat_map(|entry| entry.holders.iter().map(|holder| holder.server))
     }
 
-    /// Returns the factor on the home trust of a server of some rank for the anchor.
+    /// Returns the factor on the home's cached probability for a server of `rank` in the rendezvous
+    /// order of the anchor; 1 for the homes, 0 for an unranked server.
     fn home_rank_factor(&self, rank: Option<usize>, config: &RoutingConfig) -> f64 {
         let Some(rank) = rank else { return 0.0 };
-        let ranks_beyond = rank.saturating_sub(self.home_count() as usize - 1);
-        let fallbacks = i32::try_from(ranks_beyond).unwrap_or(i32::MAX);
-        config.fallback_home_factor.powi(fallbacks)
+        let ranks_after_homes = rank.saturating_sub(self.home_count() as usize - 1);
+        let exponent = i32::try_from(ranks_after_homes).unwrap_or(i32::MAX);
+        config.fallback_home_factor.powi(exponent)
     }
 
-    /// Returns the tokens expected from the cache of `server`, a home of rank `home_rank`.
+    /// Returns the tokens expected from the cache of `server`; `home_rank` is its position in the
+    /// rendezvous order of the anchor, none if it was not ranked.
     pub fn expected_hit(
         &self,
         index: ServerIndex,
@@ -101,39 +103,39 @@
         let is_home = home_rank.is_some_and(|rank| rank < self.home_count() as usize);
         let holder_factor = if is_home { 1.0 } else { config.non_home_holder_factor };
         let mut probability = 0.0_f64;
-        for (position, known) in self.levels.iter().enumerate().rev() {
-            let cached_probability = known.cached_probability(index, server, config, now);
+        for (position, indexed) in self.levels.iter().enumerate().rev() {
+            let cached_probability = indexed.cached_probability(index, server, config, now);
             hit.is_likely_cached |= cached_probability >= MIN_CACHED_PROBABILITY;
             probability = probability.max(holder_factor * cached_probability);
             if position <= self.anchor {
                 probability = probability.max(home_cached_probability);
             }
             let outer = position.checked_sub(1).map_or(0, |outer| self.levels[outer].level.tokens);
-            hit.tokens += probability * f64::from(known.level.tokens.saturating_sub(outer));
+            hit.tokens += probability * f64::from(indexed.level.tokens.saturating_sub(outer));
         }
         hit
     }
 
-    /// Returns the innermost level that `server` is believed to hold, whatever its age.
+    /// Returns the innermost level that the index has for `server`, whatever its age.
     pub fn cached_level(&self, index: ServerIndex, server: &ServerState) -> Option<CachedLevel> {
         let incarnation = server.incarnations.confirmed()?;
-        self.levels.iter().rev().find_map(|known| {
-            let mut holders = known.entry?.holders.iter();
+        self.levels.iter().rev().find_map(|indexed| {
+            let mut holders = indexed.entry?.holders.iter();
             let holder = holders
                 .find(|holder| holder.server == index && holder.incarnation == incarnation)?;
-            Some(CachedLevel { bytes: known.level.bytes, used_at: holder.used_at })
+            Some(CachedLevel { bytes: indexed.level.bytes, used_at: holder.used_at })
         })
     }
 
-    /// Returns the keys to import, outermost first.
+    /// Returns the keys of the levels up to the stored one, outermost first.
     pub fn import_keys(&self) -> Vec<u64> {
         let Some(stored) = self.stored else { return Vec::new() };
-        self.levels[..=stored.index].iter().map(|known| known.level.key).collect()
+        self.levels[..=stored.index].iter().map(|indexed| indexed.level.key).collect()
     }
 }
 
-impl KnownLevel<'_> {
-    /// Returns the probability that `server` holds the prefix in its present incarnation.
+impl IndexedLevel<'_> {
+    /// Returns the probability that `server` has the prefix cached in its current incarnation.
     fn cached_probability(
         &self,
         index: ServerIndex,
@@ -153,38 +155,38 @@
     }
 }
 
-fn stored_level(levels: &[KnownLevel<'_>], now: Instant) -> Option<StoredLevel> {
-    let is_stored = |known: &KnownLevel<'_>| {
-        let stored = known.entry.and_then(|entry| entry.stored);
+fn stored_level(levels: &[IndexedLevel<'_>], now: Instant) -> Option<StoredLevel> {
+    let is_stored = |indexed: &IndexedLevel<'_>| {
+        let stored = indexed.entry.and_then(|entry| entry.stored);
         stored.is_some_and(|stored| stored.tokens > 0 && now < stored.valid_until)
     };
     let index = levels.iter().rposition(is_stored)?;
     Some(StoredLevel { index, tokens: f64::from(levels[index].level.tokens) })
 }
 
-/// Score of a server; less is better.
+/// Score of a server for a request.
 #[derive(Clone, Copy, Debug)]
 pub struct Score {
-    /// Weighted seconds.
+    /// Weighted seconds; lower is better.
     pub cost_s: f64,
-    /// Tokens expected from the cache.
+    /// Tokens expected from the server's cache.
     pub hit: ExpectedHit,
-    /// Load of the server.
+    /// Estimated load of the server.
     pub load: LoadEstimate,
-    /// Seconds until the server starts on the prompt, by report and count alone.
+    /// Expected queue wait by reports and request counts, in seconds.
     pub wait_s: f64,
-    /// Whether importing from the KV store beats recomputation.
+    /// Whether an import from the KV store is faster than the recompute.
     pub imports: bool,
 }
 
-/// What all servers of one decision are scored with.
+/// Inputs to the scores of one decision that all servers share.
 #[derive(Clone, Copy, Debug)]
 pub struct ScoreInput<'a> {
-    /// Settings.
+    /// Settings of the routing decision.
     pub config: &'a RoutingConfig,
-    /// Model.
+    /// Settings of the requested model.
     pub model: &'a ModelInfo,
-    /// Weights of the workspace.
+    /// Score weights of the workspace.
     pub weights: ScoreWeights,
     /// Live nodes, this one included.
     pub live_nodes: u32,
@@ -193,7 +195,7 @@
 }
 
 impl ScoreInput<'_> {
-    /// Returns the score of a server.
+    /// Returns the score of a server for `prompt`.
     pub fn score(
         &self,
         prompt: &PromptLookup<'_>,
@@ -205,17 +207,17 @@
         let hit = prompt.expected_hit(index, server, home_rank, self.config, self.now);
         let load = server.load(self.live_nodes, self.config, self.now);
         let prompt_tokens = f64::from(prompt.tokens());
-        let recomputed_s = (prompt_tokens - hit.tokens) / self.model.prefill_tokens_per_s;
+        let recompute_s = (prompt_tokens - hit.tokens) / self.model.prefill_tokens_per_s;
         let with_import_s =
             prompt.stored.map(|stored| self.import_s(stored, hit.tokens, prompt_tokens));
-        let imports = with_import_s.is_some_and(|import_s| import_s < recomputed_s);
-        let prefill_s = with_import_s.filter(|_| imports).unwrap_or(recomputed_s);
+        let imports = with_import_s.is_some_and(|import_s| import_s < recompute_s);
+        let prefill_s = with_import_s.filter(|_| imports).unwrap_or(recompute_s);
         let link_s = 2.0 * info.link_delay.as_secs_f64();
         let wait_s = self.wait_s(server, info, load);
         let excess_s = server.excess_wait.seconds(self.config.excess_wait_decay_time, self.now);
         let first_token_s = wait_s + excess_s + prefill_s + link_s;
-        // Requests that arrive before the queue and this prefill are done are delayed by it.
-        let arrivals_per_s = load.requests / server.occupancy_s;
+        // Requests that arrive during the queue wait and this prefill are delayed by the prefill.
+        let arrivals_per_s = load.requests / server.mean_occupancy_s;
         let delayed_requests = arrivals_per_s * (wait_s + prefill_s);
         let utilisation = load.requests / f64::from(info.concurrent_requests);
         let cost_s = self.weights.first_token * first_token_s
@@ -226,16 +228,16 @@
         Score { cost_s, hit, load, wait_s, imports }
     }
 
-    /// Returns the seconds until the server starts on the prompt, by report and count alone.
+    /// Returns the expected queue wait in seconds, without the learnt excess wait.
     fn wait_s(&self, server: &ServerState, info: &ServerInfo, load: LoadEstimate) -> f64 {
         let slots = f64::from(info.concurrent_requests);
         let excess_requests = (load.requests + 1.0 - slots).max(0.0);
-        let slot_wait_s = excess_requests * server.occupancy_s / slots;
+        let slot_wait_s = excess_requests * server.mean_occupancy_s / slots;
         let prefill_wait_s = load.pending_prefill_tokens / self.model.prefill_tokens_per_s;
         slot_wait_s.max(prefill_wait_s)
     }
 
-    /// Returns the seconds until the prompt is complete if the kept prefix is imported.
+    /// Returns the seconds to import the stored prefix and prefill the rest of the prompt.
     fn import_s(&self, stored: StoredLevel, hit_tokens: f64, prompt_tokens: f64) -> f64 {
         let imported_tokens = (stored.tokens - hit_tokens).max(0.0);
         let prefilled_tokens = (prompt_tokens - stored.tokens.max(hit_tokens)).max(0.0);
--- a/src/decision/routing/view.rs
+++ b/src/decision/routing/view.rs
@@ -1,4 +1,4 @@
-//! View of the routing state that traffic threads decide on.
+//! Immutable view of the routing state, by which traffic threads choose servers.
 
 use super::config::RoutingConfig;
 use super::fleet::{Fleet, ModelInfo, ServerIndex, ServerInfo};
@@ -15,24 +15,24 @@
 use std::time::Instant;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Seconds over which equally good servers are told apart by chance.
-const TIE_BREAK_S: f64 = 0.000_1;
-/// Homes beyond the wanted number that are scored, so that a loaded one has a next.
+/// Maximum pseudo-random seconds added to a score, to spread requests over equally good servers.
+const MAX_TIE_BREAK_S: f64 = 0.000_1;
+/// Servers ranked after the last home that are scored too, as fallback for loaded homes.
 const FALLBACK_HOMES: usize = 2;
-/// Weights where the document knows no workspace of that name.
+/// Score weights of a workspace that is not in the document.
 const DEFAULT_WEIGHTS: ScoreWeights =
     ScoreWeights { first_token: 1.0, recomputation: 0.5, zone_link: 1.0 };
 
 /// Servers that may serve a model.
 #[derive(Clone, Debug)]
 pub struct ModelServers {
-    /// What the document says of the model.
+    /// Settings of the model in the document.
     pub info: ModelInfo,
-    /// Index and name hash of each server.
+    /// Index and name hash of each server, ordered by index.
     pub servers: Arc<[(ServerIndex, u64)]>,
 }
 
-/// Immutable view of the routing state; a clone shares all parts.
+/// Immutable view of the routing state; a clone shares its data.
 #[derive(Clone, Debug)]
 pub struct RoutingView {
     pub(super) policy: RoutingPolicy,
@@ -45,7 +45,7 @@
     pub(super) next_turn: Arc<AtomicUsize>,
 }
 
-/// Server that a request may go to.
+/// Server that a request may be sent to.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct EligibleServer<'a> {
     pub(super) index: ServerIndex,
@@ -54,14 +54,14 @@
     home_rank: Option<usize>,
 }
 
-/// How willingly a server is taken; earlier variants go first whatever the score.
+/// Preference class of a server; a server of an earlier variant wins whatever its score.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 enum Tier {
-    /// In order.
+    /// The server can take the request.
     Ready,
-    /// This node has more than its share of requests under way on the server.
+    /// This node has more than its share of requests in progress on the server.
     Overloaded,
-    /// The server failed lately.
+    /// The server failed recently.
     BackingOff,
 }
 
@@ -92,22 +92,23 @@
         }
     }
 
-    /// Counts a request as under way on `server` until [`RoutingView::end_request`].
+    /// Counts a request as in progress on `server` until [`RoutingView::end_request`].
     pub fn begin_request(&self, server: &ServerId, expected_prefill_tokens: u32) {
         if let Some(info) = self.info(server) {
             info.counters.begin_request(expected_prefill_tokens);
         }
     }
 
-    /// Takes back the prompt tokens given to [`RoutingView::begin_request`] once the first token has come.
+    /// Subtracts the tokens passed to [`RoutingView::begin_request`] once the first token was
+    /// received.
     pub fn finish_prefill(&self, server: &ServerId, expected_prefill_tokens: u32) {
         if let Some(info) = self.info(server) {
             info.counters.finish_prefill(expected_prefill_tokens);
         }
     }
 
-    /// Ends the count that [`RoutingView::begin_request`] started. `pending_prefill_tokens` is 0 after
-    /// [`RoutingView::finish_prefill`], else what was given to `begin`.
+    /// Ends the count that [`RoutingView::begin_request`] started. `pending_prefill_tokens` is 0
+    /// after [`RoutingView::finish_prefill`], otherwise the tokens passed to `begin_request`.
     pub fn end_request(&self, server: &ServerId, pending_prefill_tokens: u32) {
         if let Some(info) = self.info(server) {
             info.counters.finish_prefill(pending_prefill_tokens);
@@ -115,7 +116,7 @@
         }
     }
 
-    /// Returns the incarnation in which `server` was last seen.
+    /// Returns the current incarnation of `server`, none while it is unknown.
     pub fn incarnation(&self, server: &ServerId) -> Option<Incarnation> {
         self.state(self.fleet.index(server)?)?.incarnations.confirmed()
     }
@@ -190,7 +191,7 @@
         let mut best: Option<ScoredServer<'_>> = None;
         let mut second: Option<ScoredServer<'_>> = None;
         for server in self.candidates(query, model, &prompt, seed) {
-            let scored = self.scored(server, &prompt, &input, seed);
+            let scored = self.score_server(server, &prompt, &input, seed);
             if best.as_ref().is_none_or(|best| scored.is_before(best)) {
                 second = best.replace(scored);
             } else if second.as_ref().is_none_or(|second| scored.is_before(second)) {
@@ -218,7 +219,7 @@
         self.fleet.score_weights.get(&query.workspace).copied().unwrap_or(DEFAULT_WEIGHTS)
     }
 
-    /// Returns the servers to score: all of a small set, else homes, holders and a sample.
+    /// Returns the servers to score: all of a small set, otherwise homes, holders and a sample.
     fn candidates(
         &self,
         query: &RouteQuery,
@@ -253,7 +254,7 @@
         candidates
     }
 
-    fn scored<'a>(
+    fn score_server<'a>(
         &self,
         server: EligibleServer<'a>,
         prompt: &PromptLookup<'_>,
@@ -262,8 +263,9 @@
     ) -> ScoredServer<'a> {
         let EligibleServer { index, state, info, home_rank } = server;
         let mut score = input.score(prompt, index, state, info, home_rank);
-        let chance = super::homes::rendezvous_hash(info.name_hash, seed) as f64 / u64::MAX as f64;
-        score.cost_s += chance * TIE_BREAK_S;
+        let tie_break =
+            super::homes::rendezvous_hash(info.name_hash, seed) as f64 / u64::MAX as f64;
+        score.cost_s += tie_break * MAX_TIE_BREAK_S;
         let is_home = home_rank.is_some_and(|rank| rank < prompt.home_count() as usize);
         ScoredServer { server, score, is_home, tier: self.tier(state, info, input.now) }
     }
@@ -272,8 +274,8 @@
         if state.is_backing_off(now) {
             return Tier::BackingOff;
         }
-        let share = f64::from(info.concurrent_requests) / f64::from(self.live_nodes.max(1));
-        let limit = (share * self.config.overload_factor).ceil() + 1.0;
+        let node_share = f64::from(info.concurrent_requests) / f64::from(self.live_nodes.max(1));
+        let limit = (node_share * self.config.overload_factor).ceil() + 1.0;
         let own_requests = f64::from(info.counters.outstanding_requests());
         if own_requests > limit { Tier::Overloaded } else { Tier::Ready }
     }
