--- a/src/decision/admission/config.rs
+++ b/src/decision/admission/config.rs
@@ -4,21 +4,21 @@
 use crate::types::Priority;
 use std::time::{Duration, Instant};
 
-/// Shortest time after which a refused caller is told to come back.
+/// Minimum time after which a refused caller may retry.
 pub const MIN_RETRY_DELAY: Duration = Duration::from_millis(100);
 
 /// Settings of admission.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct AdmissionConfig {
-    /// Longest wait of an interactive request in milliseconds.
+    /// Maximum queue wait of an interactive request in milliseconds.
     pub max_interactive_wait_ms: u64,
-    /// Longest wait of a normal request in milliseconds.
+    /// Maximum queue wait of a normal request in milliseconds.
     pub max_normal_wait_ms: u64,
-    /// Longest wait of a batch request in milliseconds.
+    /// Maximum queue wait of a batch request in milliseconds.
     pub max_batch_wait_ms: u64,
-    /// Seconds of its rate that a workspace may use at once.
+    /// Burst of a workspace's rate limits, in seconds at the full rate.
     pub burst_s: f64,
-    /// Requests that this node runs at once for each request that its share of the servers runs.
+    /// Concurrent requests of this node as a multiple of its share of the servers' capacity.
     pub overcommit_factor: f64,
 }
 
@@ -35,14 +35,14 @@
 }
 
 impl AdmissionConfig {
-    /// Returns the refusal of a request that would wait for `wait`; its caller is told to come back
-    /// when the wait has shrunk to what its priority allows.
+    /// Returns the refusal of a request that would wait for `wait`; it may be retried when the wait
+    /// will have shrunk to the maximum of its priority.
     pub fn wait_refusal(&self, priority: Priority, wait: Duration, now: Instant) -> Refusal {
         let excess = wait.saturating_sub(self.max_wait(priority));
         Refusal { reason: RefusalReason::WaitTooLong, retry_at: now + excess.max(MIN_RETRY_DELAY) }
     }
 
-    /// Returns the longest wait of a request of `priority`.
+    /// Returns the maximum queue wait of requests with `priority`.
     pub fn max_wait(&self, priority: Priority) -> Duration {
         Duration::from_millis(match priority {
             Priority::Interactive => self.max_interactive_wait_ms,
--- a/src/decision/admission/fair_queue.rs
+++ b/src/decision/admission/fair_queue.rs
@@ -6,51 +6,51 @@
 use std::time::Instant;
 use strum::IntoEnumIterator;
 
-/// Waiting request.
+/// Request in the queue.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Waiter {
-    /// Ticket.
+    /// Identifier of the request.
     pub id: AdmissionId,
-    /// Workspace.
+    /// Workspace of the caller.
     pub workspace: WorkspaceId,
-    /// Priority.
+    /// Priority of the request.
     pub priority: Priority,
-    /// Tokens that the request is charged with once it starts.
+    /// Tokens that the workspace is charged with when the request starts.
     pub tokens: u32,
-    /// When the request is refused.
+    /// When the request is refused if it has not started.
     pub expires_at: Instant,
 }
 
-/// Requests of one priority, first come first within a workspace.
+/// Waiters of one priority by workspace, each workspace first in, first out.
 type WorkspaceQueues = BTreeMap<WorkspaceId, VecDeque<Waiter>>;
 
 /// Queue of waiting requests.
 ///
-/// A workspace is charged when its request starts, not when it arrives, so that refused requests
-/// cost it nothing.
+/// A workspace is charged when its request starts, not when it arrives, so that it does not pay for
+/// refused requests.
 #[derive(Clone, Debug, Default)]
 pub struct FairQueue {
-    lanes: BTreeMap<Priority, WorkspaceQueues>,
+    queues: BTreeMap<Priority, WorkspaceQueues>,
     finish_tags: BTreeMap<WorkspaceId, u64>,
     virtual_time: u64,
 }
 
 impl FairQueue {
-    /// Adds a request at the end of its workspace's lane.
-    pub fn push(&mut self, waiting: Waiter) {
-        let lanes = self.lanes.entry(waiting.priority).or_default();
-        lanes.entry(waiting.workspace.clone()).or_default().push_back(waiting);
+    /// Adds a waiter at the end of its workspace's queue.
+    pub fn push(&mut self, waiter: Waiter) {
+        let queues = self.queues.entry(waiter.priority).or_default();
+        queues.entry(waiter.workspace.clone()).or_default().push_back(waiter);
     }
 
-    /// Takes the next request of a workspace that `may_start`, and charges it.
+    /// Removes the next waiter among the workspaces that `may_start`, and charges its workspace.
     pub fn pop(&mut self, may_start: impl Fn(&WorkspaceId) -> bool) -> Option<Waiter> {
-        let (priority, workspace) = self.next_lane(may_start)?;
-        let waiting = self.pop_front_of(priority, &workspace)?;
-        self.charge(&workspace, waiting.tokens);
-        Some(waiting)
+        let (priority, workspace) = self.next_queue(may_start)?;
+        let waiter = self.pop_front_of(priority, &workspace)?;
+        self.charge(&workspace, waiter.tokens);
+        Some(waiter)
     }
 
-    /// Charges `workspace` with a request that starts.
+    /// Charges `workspace` with `tokens` for a request that starts.
     pub fn charge(&mut self, workspace: &WorkspaceId, tokens: u32) {
         let start = self.start_tag(workspace);
         self.virtual_time = self.virtual_time.max(start);
@@ -58,53 +58,53 @@
         self.finish_tags.retain(|_, finish| *finish > self.virtual_time);
     }
 
-    /// Removes the request with `ticket`.
+    /// Removes the waiter with `id`.
     pub fn remove(&mut self, id: AdmissionId) -> Option<Waiter> {
-        let removed = self.remove_where(|waiting| waiting.id == id);
+        let removed = self.remove_where(|waiter| waiter.id == id);
         removed.into_iter().next()
     }
 
-    /// Removes the requests that are to be refused at `now`.
+    /// Removes the waiters that have expired.
     pub fn remove_expired(&mut self, now: Instant) -> Vec<Waiter> {
-        self.remove_where(|waiting| waiting.expires_at <= now)
+        self.remove_where(|waiter| waiter.expires_at <= now)
     }
 
-    /// Returns how many requests would start before a new one of `workspace` and `priority`.
+    /// Returns how many waiters would start before a new one of `workspace` and `priority`.
     pub fn requests_ahead(&self, workspace: &WorkspaceId, priority: Priority) -> usize {
         let higher: usize = self
-            .lanes
+            .queues
             .range(priority..)
             .filter(|(other, _)| **other > priority)
-            .flat_map(|(_, lanes)| lanes.values())
+            .flat_map(|(_, queues)| queues.values())
             .map(VecDeque::len)
             .sum();
-        let Some(lanes) = self.lanes.get(&priority) else { return higher };
-        let own = lanes.get(workspace).map_or(0, VecDeque::len);
-        let others: usize = lanes
+        let Some(queues) = self.queues.get(&priority) else { return higher };
+        let own_waiters = queues.get(workspace).map_or(0, VecDeque::len);
+        let other_waiters: usize = queues
             .iter()
             .filter(|(other, _)| *other != workspace)
-            .map(|(_, lane)| lane.len().min(own + 1))
+            .map(|(_, queue)| queue.len().min(own_waiters + 1))
             .sum();
-        higher + own + others
+        higher + own_waiters + other_waiters
     }
 
-    /// Returns the number of waiting requests.
+    /// Returns the number of waiters.
     pub fn len(&self) -> usize {
-        self.lanes.values().flat_map(BTreeMap::values).map(VecDeque::len).sum()
+        self.queues.values().flat_map(BTreeMap::values).map(VecDeque::len).sum()
     }
 
-    /// Returns whether no request waits.
+    /// Returns whether the queue has no waiters.
     pub fn is_empty(&self) -> bool {
-        self.lanes.values().all(BTreeMap::is_empty)
+        self.queues.values().all(BTreeMap::is_empty)
     }
 
-    fn next_lane(
+    fn next_queue(
         &self,
         may_start: impl Fn(&WorkspaceId) -> bool,
     ) -> Option<(Priority, WorkspaceId)> {
         Priority::iter().rev().find_map(|priority| {
-            let lanes = self.lanes.get(&priority)?;
-            let workspace = lanes
+            let queues = self.queues.get(&priority)?;
+            let workspace = queues
                 .keys()
                 .filter(|workspace| may_start(workspace))
                 .min_by_key(|workspace| self.start_tag(workspace))?;
@@ -117,23 +117,23 @@
     }
 
     fn pop_front_of(&mut self, priority: Priority, workspace: &WorkspaceId) -> Option<Waiter> {
-        let lanes = self.lanes.get_mut(&priority)?;
-        let lane = lanes.get_mut(workspace)?;
-        let waiting = lane.pop_front();
-        if lane.is_empty() {
-            lanes.remove(workspace);
+        let queues = self.queues.get_mut(&priority)?;
+        let queue = queues.get_mut(workspace)?;
+        let waiter = queue.pop_front();
+        if queue.is_empty() {
+            queues.remove(workspace);
         }
-        waiting
+        waiter
     }
 
     fn remove_where(&mut self, matches: impl Fn(&Waiter) -> bool) -> Vec<Waiter> {
         let mut removed = Vec::new();
-        for lanes in self.lanes.values_mut() {
-            for lane in lanes.values_mut() {
-                removed.extend(lane.iter().filter(|waiting| matches(waiting)).cloned());
-                lane.retain(|waiting| !matches(waiting));
+        for queues in self.queues.values_mut() {
+            for queue in queues.values_mut() {
+                removed.extend(queue.iter().filter(|waiter| matches(waiter)).cloned());
+                queue.retain(|waiter| !matches(waiter));
             }
-            lanes.retain(|_, lane| !lane.is_empty());
+            queues.retain(|_, queue| !queue.is_empty());
         }
         removed
     }
--- a/src/decision/admission/messages.rs
+++ b/src/decision/admission/messages.rs
@@ -1,68 +1,68 @@
-//! Messages of admission.
+//! Requests to admission and its decisions.
 
 use crate::types::{Priority, WorkspaceId};
 use std::time::Instant;
 use strum::{Display, IntoStaticStr};
 
-/// Number of a request within one node.
+/// Identifier of a request in admission, unique within the node.
 pub type AdmissionId = u64;
 
-/// Request that asks to start.
+/// Request for admission.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct AdmissionRequest {
-    /// Ticket, not used before.
+    /// Identifier that no earlier request of the node had.
     pub id: AdmissionId,
-    /// Workspace.
+    /// Workspace of the caller.
     pub workspace: WorkspaceId,
-    /// Priority.
+    /// Priority of the request.
     pub priority: Priority,
-    /// Prompt tokens and tokens to be generated.
+    /// Prompt tokens plus tokens to be generated.
     pub tokens: u32,
-    /// When the request is given up.
+    /// When the request times out.
     pub deadline: Instant,
 }
 
-/// Answer to a request that asks to start.
+/// Decision on a request for admission.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum AdmissionDecision {
     /// The request starts now.
     Start,
-    /// The request waits; it is refused if it has not started by `until`.
+    /// The request waits in the queue.
     Wait {
-        /// When the request is refused.
+        /// When the request is refused if it has not started.
         expires_at: Instant,
     },
-    /// The request is not run.
+    /// The request does not run.
     Refuse(Refusal),
 }
 
-/// Refusal of a request.
+/// Refusal of a request, with the time at which to retry.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Refusal {
-    /// Reason.
+    /// Why the request is refused.
     pub reason: RefusalReason,
-    /// When the caller should come back.
+    /// Earliest time at which the caller should retry.
     pub retry_at: Instant,
 }
 
-/// Waiting request that is refused.
+/// Waiter that is refused because its wait expired.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct RefusedWaiter {
-    /// Ticket.
+    /// Identifier of the request.
     pub id: AdmissionId,
-    /// Refusal.
+    /// Refusal to return to the caller.
     pub refusal: Refusal,
 }
 
-/// Reason of a refusal.
+/// Why a request is refused.
 #[derive(Clone, Copy, Debug, Display, Eq, IntoStaticStr, PartialEq)]
 #[strum(serialize_all = "snake_case")]
 pub enum RefusalReason {
-    /// The document does not name the workspace.
+    /// The workspace is not in the document.
     UnknownWorkspace,
-    /// The workspace used up its requests a second.
+    /// The workspace exceeds its requests per second.
     RequestRate,
-    /// The workspace used up its tokens a second.
+    /// The workspace exceeds its tokens per second.
     TokenRate,
     /// The request would wait, or has waited, longer than its priority allows.
     WaitTooLong,
--- a/src/decision/admission/mod.rs
+++ b/src/decision/admission/mod.rs
@@ -1,5 +1,5 @@
-//! Whether and when a model request may start: limits of its workspace, a bound on running
-//! requests, and a fair queue that refuses early instead of late.
+//! Admission of model requests: rate limits per workspace, a limit on running requests, and a fair
+//! queue that refuses a request at once if it would wait too long.
 
 pub mod config;
 pub mod fair_queue;
--- a/src/decision/admission/state.rs
+++ b/src/decision/admission/state.rs
@@ -1,4 +1,4 @@
-//! State machine of admission on one node.
+//! Admission state of a node.
 
 use super::fair_queue::Waiter;
 use super::{
@@ -11,13 +11,13 @@
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
 
-/// Weight of a new sample in the mean service time.
+/// Weight of a new observation in the moving average of the service time.
 const SERVICE_TIME_SMOOTHING: f64 = 0.1;
 
-/// Service time assumed before the first request has ended.
+/// Estimated service time before the first request has ended.
 const INITIAL_SERVICE_TIME_S: f64 = 1.0;
 
-/// Admission of one node.
+/// Admission state of a node: rate limits, running requests and the queue.
 #[derive(Clone, Debug)]
 pub struct Admission {
     config: AdmissionConfig,
@@ -43,7 +43,7 @@
 }
 
 impl Admission {
-    /// Returns the state of a node that knows no document yet and starts nothing.
+    /// Returns the state of a node without a document, which refuses all requests.
     pub fn new(config: AdmissionConfig) -> Self {
         Self {
             config,
@@ -55,8 +55,8 @@
         }
     }
 
-    /// Takes this node's share of the limits in `document` among `live_nodes`; returns the
-    /// requests that start.
+    /// Divides the limits in `document` among `live_nodes` and applies this node's share; returns
+    /// the waiters that start.
     pub fn set_limits(
         &mut self,
         document: &Document,
@@ -97,7 +97,7 @@
         limits.max_running = node_share(f64::from(workspace.concurrent_requests), nodes);
     }
 
-    /// Decides on a new request.
+    /// Starts, queues or refuses a new request.
     pub fn submit(&mut self, request: AdmissionRequest, now: Instant) -> AdmissionDecision {
         if let Err(refusal) = self.consume_rates(&request, now) {
             return AdmissionDecision::Refuse(refusal);
@@ -130,7 +130,7 @@
         AdmissionDecision::Wait { expires_at }
     }
 
-    /// Ends a running or waiting request; returns the requests that start.
+    /// Removes a running or waiting request that ended; returns the waiters that start.
     pub fn finish(&mut self, id: AdmissionId, now: Instant) -> Vec<AdmissionId> {
         if self.queue.remove(id).is_some() {
             return Vec::new();
@@ -145,14 +145,14 @@
         self.start_waiters(now)
     }
 
-    /// Refuses the requests that have waited too long.
+    /// Removes and refuses the waiters that have expired.
     pub fn expire(&mut self, now: Instant) -> Vec<RefusedWaiter> {
         let retry_at = now + Duration::from_secs_f64(self.mean_service_time_s).max(MIN_RETRY_DELAY);
         let refusal = Refusal { reason: RefusalReason::WaitTooLong, retry_at };
         self.queue
             .remove_expired(now)
             .into_iter()
-            .map(|waiting| RefusedWaiter { id: waiting.id, refusal })
+            .map(|waiter| RefusedWaiter { id: waiter.id, refusal })
             .collect()
     }
 
@@ -172,13 +172,13 @@
             return refuse(RefusalReason::UnknownWorkspace, now + MIN_RETRY_DELAY);
         };
         let tokens = f64::from(request.tokens);
-        let requests_at = limits.requests.available_at(1.0, now);
-        if requests_at > now {
-            return refuse(RefusalReason::RequestRate, requests_at);
+        let request_rate_ok_at = limits.requests.available_at(1.0, now);
+        if request_rate_ok_at > now {
+            return refuse(RefusalReason::RequestRate, request_rate_ok_at);
         }
-        let tokens_at = limits.tokens.available_at(tokens, now);
-        if tokens_at > now {
-            return refuse(RefusalReason::TokenRate, tokens_at);
+        let token_rate_ok_at = limits.tokens.available_at(tokens, now);
+        if token_rate_ok_at > now {
+            return refuse(RefusalReason::TokenRate, token_rate_ok_at);
         }
         limits.requests.take(1.0, now);
         limits.tokens.take(tokens, now);
@@ -186,19 +186,19 @@
     }
 
     fn expected_wait(&self, request: &AdmissionRequest) -> Duration {
-        let ahead = self.queue.requests_ahead(&request.workspace, request.priority) as f64;
-        let by_node = (ahead + 1.0) / self.max_running.max(1) as f64;
-        Duration::from_secs_f64(by_node * self.mean_service_time_s)
+        let requests_ahead = self.queue.requests_ahead(&request.workspace, request.priority) as f64;
+        let service_times = (requests_ahead + 1.0) / self.max_running.max(1) as f64;
+        Duration::from_secs_f64(service_times * self.mean_service_time_s)
     }
 
     fn start_waiters(&mut self, now: Instant) -> Vec<AdmissionId> {
         let mut started = Vec::new();
         while self.has_free_slot() {
             let workspaces = &self.workspaces;
-            let next = self.queue.pop(|workspace| has_workspace_slot(workspaces, workspace));
-            let Some(waiting) = next else { break };
-            started.push(waiting.id);
-            self.start(waiting.id, waiting.workspace, now);
+            let next = self.queue.pop(|workspace| workspace_has_slot(workspaces, workspace));
+            let Some(waiter) = next else { break };
+            started.push(waiter.id);
+            self.start(waiter.id, waiter.workspace, now);
         }
         started
     }
@@ -215,18 +215,18 @@
     }
 
     fn may_start(&self, workspace: &WorkspaceId) -> bool {
-        has_workspace_slot(&self.workspaces, workspace)
+        workspace_has_slot(&self.workspaces, workspace)
     }
 }
 
-fn has_workspace_slot(
+fn workspace_has_slot(
     workspaces: &HashMap<WorkspaceId, WorkspaceLimits>,
     workspace: &WorkspaceId,
 ) -> bool {
     workspaces.get(workspace).is_some_and(|limits| limits.running < limits.max_running)
 }
 
-/// Returns how many requests the servers run at once within the power budget.
+/// Returns how many requests all servers can run concurrently within the power budget.
 fn site_slots(document: &Document) -> u64 {
     let slots = document.servers.values().map(|server| u64::from(server.concurrent_requests));
     let max_request_watts = document.servers.values().map(|server| server.request_watts).max();
@@ -234,7 +234,7 @@
     slots.sum::<u64>().min(by_power)
 }
 
-/// Returns a node's share of `total`, at least 1.
+/// Returns a node's equal share of `total`, rounded up, at least 1.
 fn node_share(total: f64, nodes: f64) -> usize {
     (total / nodes).ceil().max(1.0) as usize
 }
--- a/src/decision/admission/token_bucket.rs
+++ b/src/decision/admission/token_bucket.rs
@@ -1,11 +1,11 @@
-//! Token bucket with a rate that may change.
+//! Token bucket whose rate can change.
 
 use std::time::{Duration, Instant};
 
-/// Longest time that a bucket asks a caller to wait.
+/// Maximum wait that a bucket reports.
 const MAX_WAIT: Duration = Duration::from_secs(60);
 
-/// Token bucket; starts full.
+/// Token bucket whose level may go negative.
 #[derive(Clone, Debug, PartialEq)]
 pub struct TokenBucket {
     level: f64,
@@ -20,7 +20,7 @@
         Self { level: burst, rate_per_s, burst, updated_at: now }
     }
 
-    /// Changes rate and burst; the bucket keeps the part to which it is filled.
+    /// Changes rate and burst; keeps the fraction to which the bucket is filled.
     pub fn set_rate(&mut self, rate_per_s: f64, burst: f64, now: Instant) {
         self.refill(now);
         self.level = if self.burst > 0.0 { self.level / self.burst * burst } else { burst };
@@ -28,7 +28,7 @@
         self.burst = burst;
     }
 
-    /// Returns when `cost` can be taken; a cost above the burst needs a full bucket.
+    /// Returns when `cost` can be taken; a cost above the burst needs only a full bucket.
     pub fn available_at(&mut self, cost: f64, now: Instant) -> Instant {
         self.refill(now);
         let missing = cost.min(self.burst) - self.level;
@@ -39,7 +39,7 @@
         now + Duration::from_secs_f64(wait_s)
     }
 
-    /// Takes `cost`; the level may fall below zero, which later requests wait out.
+    /// Takes `cost`; a level below zero delays later requests until it has refilled.
     pub fn take(&mut self, cost: f64, now: Instant) {
         self.refill(now);
         self.level -= cost;
--- a/src/decision/frame_order/mod.rs
+++ b/src/decision/frame_order/mod.rs
@@ -1,48 +1,48 @@
-//! Order of the frames that a caller gets from one or several servers.
+//! Order of the frames of one answer, which may come from several servers.
 
 use std::fmt;
 
-/// Frames relayed so far.
+/// Position in the frame sequence of an answer.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct FrameOrder {
     next_frame: u64,
 }
 
-/// Place of a frame in an answer.
+/// Kind and number of a frame in an answer.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum FramePosition {
-    /// A piece of the answer.
+    /// Frame with a piece of the answer.
     Piece(u64),
-    /// The end of the answer.
+    /// Last frame of the answer.
     End(u64),
 }
 
-/// What is done with a frame.
+/// What to do with a received frame.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum FrameAction {
-    /// The frame is relayed.
+    /// Relay the frame to the caller.
     Relay,
-    /// The frame has been relayed before.
+    /// Drop the frame, which has been relayed before.
     Skip,
-    /// The attempt is given up.
+    /// Abort the attempt because of a frame out of order.
     Refuse(FrameOrderError),
 }
 
-/// Fault in the order of frames.
+/// Violation of the frame order.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum FrameOrderError {
-    /// A frame came before the one that is due.
+    /// A frame was received before the one that is due.
     Early {
-        /// Number of the frame.
+        /// Number of the received frame.
         number: u64,
-        /// Number that is due.
+        /// Number of the frame that is due.
         due: u64,
     },
-    /// The answer ended before what has been relayed already.
+    /// The answer ended before a frame that has been relayed.
     EarlyEnd {
         /// Number of the last frame.
         number: u64,
-        /// Number that is due.
+        /// Number of the frame that is due.
         due: u64,
     },
 }
@@ -50,9 +50,7 @@
 impl fmt::Display for FrameOrderError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Early { number, due } => {
-                write!(f, "frame {number} came before frame {due}")
-            }
+            Self::Early { number, due } => write!(f, "frame {number} came before frame {due}"),
             Self::EarlyEnd { number, due } => {
                 write!(f, "answer ended with frame {number}, before frame {due}")
             }
@@ -63,12 +61,12 @@
 impl std::error::Error for FrameOrderError {}
 
 impl FrameOrder {
-    /// Returns the number of the frame that is due, which is the number of frames relayed.
+    /// Returns the number of the frame that is due, which equals the number of relayed frames.
     pub fn next_frame(&self) -> u64 {
         self.next_frame
     }
 
-    /// Decides on a frame, and counts it if it is relayed.
+    /// Returns what to do with a received frame; counts it if it is to be relayed.
     pub fn accept(&mut self, position: FramePosition) -> FrameAction {
         let due = self.next_frame;
         match position {
--- a/src/decision/poison/mod.rs
+++ b/src/decision/poison/mod.rs
@@ -1,8 +1,8 @@
-//! Requests that crash the servers that run them.
+//! Detection of poison requests, which crash the servers that run them.
 //!
-//! A request is known by a fingerprint of its body. Each server that crashed while it ran the
-//! request is a strike. A request with a strike is a suspect and runs apart from others; with two
-//! strikes it is refused on every node, as strikes travel between partners.
+//! A request is identified by a fingerprint. Each server that crashed while it ran the request
+//! counts as a strike. A request with one strike is a suspect and runs apart from other requests;
+//! with two strikes every node refuses it, since nodes share their strikes.
 
 pub mod state;
 
@@ -18,27 +18,27 @@
 /// Strikes after which a request is refused.
 pub const REFUSAL_STRIKES: usize = 2;
 
-/// A server crashed while it ran a request.
+/// Crash of a server while it ran a request.
 #[derive(Clone, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 pub struct Strike {
     /// Fingerprint of the request.
     pub fingerprint: Fingerprint,
     /// Server that crashed.
     pub server: ServerId,
-    /// Incarnation of the server that crashed; the same crash is one strike however often told.
+    /// Incarnation of the server that crashed, so that repeated reports of a crash count once.
     pub incarnation: Incarnation,
 }
 
-/// What is to be done with a request.
+/// How a request is treated because of its strikes.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Suspicion {
-    /// Nothing is known against it.
+    /// The request has no strikes and runs normally.
     None,
-    /// It ran on one server that crashed; it must not run beside others.
+    /// The request has strikes too few to refuse it, and must not run beside other requests.
     Suspect,
-    /// It ran on two servers that crashed; it is refused until the time given.
+    /// The request crashed enough servers to be refused.
     Refused {
-        /// When the last strike is forgotten.
+        /// When the last strike expires.
         until: Instant,
     },
 }
--- a/src/decision/poison/state.rs
+++ b/src/decision/poison/state.rs
@@ -1,16 +1,16 @@
-//! Strikes of a node, its own and its partners'.
+//! Strikes that a node knows of, its own and those of its partners.
 
 use super::{Fingerprint, REFUSAL_STRIKES, Strike, Suspicion};
 use imbl::HashMap;
 use std::time::{Duration, Instant};
 
-/// Time for which a strike counts.
+/// Time after which a strike expires.
 const STRIKE_LIFETIME: Duration = Duration::from_secs(3_600);
 
-/// Most fingerprints that are remembered; the one whose strikes end first makes room.
+/// Maximum number of fingerprints with strikes; the one whose strikes expire first is evicted.
 const MAX_FINGERPRINTS: usize = 4_096;
 
-/// Strike with the time at which it is forgotten.
+/// Strike with its expiry and whether it was cleared.
 #[derive(Clone, Debug, Eq, PartialEq)]
 struct RecordedStrike {
     strike: Strike,
@@ -20,25 +20,25 @@
 
 impl RecordedStrike {
     fn is_same_crash(&self, other: &Self) -> bool {
-        let (own, other) = (&self.strike, &other.strike);
-        own.server == other.server && own.incarnation == other.incarnation
+        let (this, other) = (&self.strike, &other.strike);
+        this.server == other.server && this.incarnation == other.incarnation
     }
 }
 
-/// Strikes known to a node.
+/// Strikes by fingerprint.
 #[derive(Clone, Debug, Default)]
 pub struct PoisonState {
     strikes: HashMap<Fingerprint, Vec<RecordedStrike>>,
 }
 
-/// Immutable view of the strikes.
+/// Immutable view of the strikes, by which traffic threads check requests.
 #[derive(Clone, Debug, Default)]
 pub struct PoisonView {
     strikes: HashMap<Fingerprint, Vec<RecordedStrike>>,
 }
 
 impl PoisonState {
-    /// Adds `strike`; returns whether it was new, so that partners are to be told.
+    /// Adds `strike`; returns whether it is new and must be sent to the partners.
     pub fn add(&mut self, strike: Strike, now: Instant) -> bool {
         self.remove_expired(now);
         if self.is_known(&strike) {
@@ -57,16 +57,17 @@
         true
     }
 
-    /// Clears a request that ran to its end: what crashed its servers was another one.
+    /// Clears the strikes of a request that ran to completion: another request caused its crashes.
     ///
-    /// The cleared strikes stay known, so that a partner that tells them again changes nothing.
+    /// The strikes are kept as cleared, so that a partner that sends them again does not revive
+    /// them.
     pub fn clear_strikes(&mut self, fingerprint: Fingerprint) {
         if let Some(strikes) = self.strikes.get_mut(&fingerprint) {
             strikes.iter_mut().for_each(|recorded| recorded.is_cleared = true);
         }
     }
 
-    /// Returns all strikes, for a partner that has just connected.
+    /// Returns all strikes that are not cleared, for a partner that has just connected.
     pub fn strikes(&self) -> Vec<Strike> {
         let all = self.strikes.values().flatten().filter(|recorded| !recorded.is_cleared);
         all.map(|recorded| recorded.strike.clone()).collect()
@@ -107,11 +108,11 @@
 }
 
 impl PoisonView {
-    /// Returns what is to be done with the request of `fingerprint`.
+    /// Returns how to treat the request with `fingerprint`.
     ///
-    /// Strikes of one server count once: a server that crashes again and again by itself does not
-    /// condemn the request that keeps being sent to it. A request that shares all its crashes with
-    /// another one stays a suspect up to one further crash, since only one of them is the cause.
+    /// Strikes of one server count once, so that a server that crashes repeatedly for other reasons
+    /// does not cause the refusal of the requests sent to it. A request that shares all its crashes
+    /// with another one is refused only after one further strike, since one of the two is innocent.
     pub fn suspicion(&self, fingerprint: Fingerprint, now: Instant) -> Suspicion {
         let Some(strikes) = self.strikes.get(&fingerprint) else { return Suspicion::None };
         let live: Vec<&RecordedStrike> = strikes
--- a/src/decision/retry/budget.rs
+++ b/src/decision/retry/budget.rs
@@ -1,17 +1,17 @@
-//! Budget that bounds retries to a share of first attempts.
+//! Budget that limits retries to a fraction of the first attempts.
 
 use std::time::Instant;
 
-/// Retries earned by one first attempt.
+/// Retries added to the budget per first attempt.
 const RETRIES_PER_ATTEMPT: f64 = 0.1;
 
-/// Retries earned a second without traffic, so that a quiet node can retry.
+/// Retries added per second without traffic, so that an idle node can retry.
 const RETRIES_PER_S: f64 = 1.0;
 
-/// Most retries saved up.
+/// Maximum number of available retries.
 const MAX_AVAILABLE_RETRIES: f64 = 20.0;
 
-/// Token bucket of retries, filled by first attempts and slowly by time.
+/// Token bucket of retries, refilled by first attempts and, slowly, by time.
 #[derive(Clone, Debug)]
 pub struct RetryBudget {
     available_retries: f64,
@@ -31,7 +31,7 @@
             (self.available_retries + RETRIES_PER_ATTEMPT).min(MAX_AVAILABLE_RETRIES);
     }
 
-    /// Takes one retry and returns whether there was one.
+    /// Takes one retry; returns false if none is available.
     pub fn try_take(&mut self, now: Instant) -> bool {
         self.refill(now);
         if self.available_retries < 1.0 {
--- a/src/decision/retry/mod.rs
+++ b/src/decision/retry/mod.rs
@@ -1,4 +1,4 @@
-//! Whether a failed attempt of an idempotent request is followed by another.
+//! Decides whether a failed attempt of an idempotent request is retried.
 
 pub mod budget;
 
@@ -8,47 +8,47 @@
 use std::time::{Duration, Instant};
 use strum::{Display, IntoStaticStr};
 
-/// Most attempts of one request.
+/// Maximum number of attempts of a request.
 const MAX_ATTEMPTS: u32 = 4;
 
-/// Least time left for another attempt to make sense.
+/// Minimum time until the deadline for another attempt.
 const MIN_ATTEMPT_TIME: Duration = Duration::from_millis(50);
 
-/// Failed attempt.
+/// Failed attempt of a request.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct FailedAttempt {
-    /// Attempts made so far, this one included.
+    /// Attempts made so far, including this one.
     pub attempts: u32,
-    /// Delivery of the failed attempt.
+    /// Whether the failed attempt may have reached the server.
     pub delivery: Delivery,
     /// Deadline of the request.
     pub deadline: Instant,
 }
 
-/// What follows a failed attempt.
+/// Decision on a failed attempt.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum RetryDecision {
-    /// Another attempt on another server.
+    /// Retry on another server.
     Retry,
-    /// No further attempt.
+    /// Make no further attempt.
     GiveUp(GiveUpReason),
 }
 
-/// Reason why no further attempt is made.
+/// Why no further attempt is made.
 #[derive(Clone, Copy, Debug, Display, Eq, IntoStaticStr, PartialEq)]
 #[strum(serialize_all = "snake_case")]
 pub enum GiveUpReason {
-    /// The request had as many attempts as it may have.
+    /// The request has reached the maximum number of attempts.
     AttemptsUsed,
-    /// Too little time is left.
+    /// Too little time is left until the deadline.
     DeadlineNear,
-    /// Retries of all requests exceed their share of the traffic.
+    /// The retry budget of the node is used up.
     BudgetUsed,
 }
 
-/// Decides whether `attempt` is followed by another; takes from `budget` if so.
+/// Decides whether to retry after `attempt`; a retry is taken from `budget`.
 ///
-/// An attempt that the server refused without acting costs no budget: it caused no work.
+/// A retry of an attempt that the server refused is free, because the refusal caused no work.
 pub fn decide(attempt: FailedAttempt, budget: &mut RetryBudget, now: Instant) -> RetryDecision {
     if attempt.attempts >= MAX_ATTEMPTS {
         return RetryDecision::GiveUp(GiveUpReason::AttemptsUsed);
