--- a/benches/routing.rs
+++ b/benches/routing.rs
@@ -1,4 +1,4 @@
-//! Time of routing decisions and of the events behind them at the target's size.
+//! Benchmarks of routing decisions and state updates at the target fleet size.
 #![allow(missing_docs, reason = "criterion generates the entry points")]
 
 #[path = "../examples/support/fleet.rs"]
--- a/tests/routing/faults.rs
+++ b/tests/routing/faults.rs
@@ -1,4 +1,4 @@
-//! Servers that crash, lag, lie or are slow, and what a choice may rest on.
+//! Routing under faults: servers that restart, fail, leave, lose models or events, or are slow.
 
 use crate::fixture::{Node, idle_report, levels, query, server};
 use coriandertide::decision::routing::{
@@ -9,37 +9,41 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-fn manual() -> Vec<PrefixLevel> {
+fn manual_levels() -> Vec<PrefixLevel> {
     levels("survey", "1", "survey manual ", "how many lanes?")
 }
 
-/// Makes the node believe that the home holds the manual, and returns the home.
-fn warm(node: &mut Node) -> ServerId {
-    let home = node.route("first", &manual()).server;
-    node.answer(&home, 1, &manual(), 0, Duration::from_millis(280));
+/// Returns the home of the manual after an answer that shows the manual in its cache.
+fn cache_on_home(node: &mut Node) -> ServerId {
+    let home = node.route("first", &manual_levels()).server;
+    node.answer(&home, 1, &manual_levels(), 0, Duration::from_millis(280));
     home
 }
 
 #[test]
-fn a_belief_of_a_dead_incarnation_is_void() {
+fn holders_of_an_old_incarnation_are_ignored() {
     let mut node = Node::reported(12);
-    let home = warm(&mut node);
-    let before = node.route("second", &manual());
+    let home = cache_on_home(&mut node);
+    let before = node.route("second", &manual_levels());
     assert_eq!((before.server, before.reason), (home.clone(), RouteReason::CachedPrefix));
     assert!(before.expected_hit_tokens > 1_900);
     let number = (0..12).find(|number| server(*number) == home).unwrap();
     node.report(number, idle_report(2));
-    let after = node.route("third", &manual());
+    let after = node.route("third", &manual_levels());
     assert_eq!(after.reason, RouteReason::Home);
     assert!(after.expected_hit_tokens < before.expected_hit_tokens / 4);
-    node.answer(&home, 1, &manual(), 2_000, Duration::ZERO);
-    assert_eq!(node.route("late", &manual()).reason, RouteReason::Home, "retired incarnation");
+    node.answer(&home, 1, &manual_levels(), 2_000, Duration::ZERO);
+    assert_eq!(
+        node.route("late", &manual_levels()).reason,
+        RouteReason::Home,
+        "retired incarnation"
+    );
 }
 
 #[test]
-fn other_workspaces_and_older_weights_are_not_relied_on() {
+fn prefixes_of_other_workspaces_and_weights_versions_are_not_used() {
     let mut node = Node::reported(12);
-    warm(&mut node);
+    cache_on_home(&mut node);
     for (workspace, version) in [("pickup", "1"), ("survey", "2")] {
         let levels = levels(workspace, version, "survey manual ", "how many lanes?");
         assert_ne!(node.route("other", &levels).reason, RouteReason::CachedPrefix);
@@ -47,20 +51,24 @@
 }
 
 #[test]
-fn a_failed_server_gets_nothing_until_its_backoff_ends() {
+fn a_failed_server_gets_no_request_until_its_backoff_ends() {
     let mut node = Node::reported(12);
-    let home = warm(&mut node);
+    let home = cache_on_home(&mut node);
     node.apply(RoutingEvent::ServerFailed { server: home.clone() });
-    assert_ne!(node.route("a", &manual()).server, home);
+    assert_ne!(node.route("a", &manual_levels()).server, home);
     node.advance(Duration::from_millis(300));
-    assert_eq!(node.route("b", &manual()).server, home, "unknown again, and the first home");
-    assert_eq!(node.route("c", &manual()).reason, RouteReason::Home);
+    assert_eq!(
+        node.route("b", &manual_levels()).server,
+        home,
+        "the cache is unknown, the server is the first home"
+    );
+    assert_eq!(node.route("c", &manual_levels()).reason, RouteReason::Home);
     (0..12).for_each(|it| node.apply(RoutingEvent::ServerFailed { server: server(it) }));
-    node.route("all have failed, one is tried", &manual());
+    node.route("all have failed, one is tried", &manual_levels());
 }
 
 #[test]
-fn leaving_and_excluded_servers_get_nothing() {
+fn leaving_and_excluded_servers_get_no_request() {
     for policy in [
         RoutingPolicy::RoundRobin,
         RoutingPolicy::LeastOutstanding,
@@ -70,7 +78,7 @@
         let mut node = Node::with_policy(4, policy);
         let leaving: BTreeSet<ServerId> = [server(0), server(1)].into();
         node.apply(RoutingEvent::Leaving(leaving));
-        let mut query = query("r", &manual());
+        let mut query = query("r", &manual_levels());
         query.excluded = vec![server(2)];
         for _ in 0..8 {
             let decision = node.state.view().route(&query, node.now).unwrap();
@@ -82,83 +90,83 @@
 }
 
 #[test]
-fn a_burst_between_reports_does_not_herd() {
+fn a_burst_between_reports_is_spread_over_the_servers() {
     let mut node = Node::reported(12);
     node.apply(RoutingEvent::LiveNodes(4));
-    warm(&mut node);
+    cache_on_home(&mut node);
     let view = node.state.view();
     let mut counts = std::collections::BTreeMap::new();
     for number in 0..48 {
-        let decision = node.route(&format!("r{number}"), &manual());
+        let decision = node.route(&format!("r{number}"), &manual_levels());
         view.begin_request(&decision.server, 100);
         *counts.entry(decision.server).or_insert(0) += 1;
     }
-    let most = counts.values().max().copied().unwrap();
-    assert!(most <= 8, "{counts:?}");
+    let max_count = counts.values().max().copied().unwrap();
+    assert!(max_count <= 8, "{counts:?}");
     assert_eq!(counts.len(), 12);
 }
 
 #[test]
-fn a_server_that_is_slow_or_hides_its_queue_loses_its_prefix() {
+fn a_server_slower_than_its_report_loses_its_prefix() {
     let mut node = Node::reported(12);
-    let home = warm(&mut node);
+    let home = cache_on_home(&mut node);
     for _ in 0..10 {
         node.advance(Duration::from_millis(100));
-        node.answer(&home, 1, &manual(), 2_000, Duration::from_secs(3));
+        node.answer(&home, 1, &manual_levels(), 2_000, Duration::from_secs(3));
     }
-    assert_ne!(node.route("a", &manual()).server, home);
+    assert_ne!(node.route("a", &manual_levels()).server, home);
     node.advance(Duration::from_secs(20));
-    assert_eq!(node.route("b", &manual()).server, home, "forgiven and tried again");
+    assert_eq!(node.route("b", &manual_levels()).server, home, "the excess wait has decayed");
 }
 
 #[test]
-fn a_gap_in_the_events_lowers_trust() {
+fn a_gap_in_the_events_lowers_the_expected_hit() {
     let mut node = Node::reported(12);
-    let home = node.route("first", &manual()).server;
-    let stray = (0..12).map(server).find(|server| *server != home).unwrap();
-    node.answer(&stray, 1, &manual(), 0, Duration::from_millis(280));
+    let home = node.route("first", &manual_levels()).server;
+    let non_home = (0..12).map(server).find(|server| *server != home).unwrap();
+    node.answer(&non_home, 1, &manual_levels(), 0, Duration::from_millis(280));
     let stored = |sequence| CacheEvent::Stored { sequence, prefix_key: 7, tokens: 1 };
     let page = |sequence| CacheEventPage {
         incarnation: 1,
         next_event: sequence + 1,
         events: vec![stored(sequence)],
     };
-    let mut only_stray = query("r", &manual());
-    only_stray.excluded = (0..12).map(server).filter(|server| *server != stray).collect();
+    let mut restricted = query("r", &manual_levels());
+    restricted.excluded = (0..12).map(server).filter(|server| *server != non_home).collect();
     let expected =
-        |node: &Node| node.state.view().route(&only_stray, node.now).unwrap().expected_hit_tokens;
+        |node: &Node| node.state.view().route(&restricted, node.now).unwrap().expected_hit_tokens;
     let before = expected(&node);
     node.advance(Duration::from_millis(1));
-    node.apply(RoutingEvent::CacheEvents { server: stray.clone(), page: page(1) });
-    node.apply(RoutingEvent::CacheEvents { server: stray.clone(), page: page(2) });
+    node.apply(RoutingEvent::CacheEvents { server: non_home.clone(), page: page(1) });
+    node.apply(RoutingEvent::CacheEvents { server: non_home.clone(), page: page(2) });
     assert!(before > 1_000 && expected(&node) + 5 > before);
-    node.apply(RoutingEvent::CacheEvents { server: stray, page: page(9) });
+    node.apply(RoutingEvent::CacheEvents { server: non_home, page: page(9) });
     let after = expected(&node);
     assert!(after < before * 6 / 10, "{after} of {before}");
 }
 
 #[test]
-fn kept_cache_is_imported_where_it_beats_recomputation() {
+fn a_stored_prefix_is_imported_if_faster_than_recompute() {
     let mut node = Node::reported(12);
-    let levels = manual();
-    let kept = StoredPrefix { key: levels[1].key, tokens: levels[1].tokens };
-    node.apply(RoutingEvent::StoredPrefixes(vec![kept]));
+    let levels = manual_levels();
+    let stored = StoredPrefix { key: levels[1].key, tokens: levels[1].tokens };
+    node.apply(RoutingEvent::StoredPrefixes(vec![stored]));
     let cold = node.route("a", &levels);
     assert_eq!(cold.reason, RouteReason::Import);
     assert_eq!(cold.import_keys, vec![levels[0].key, levels[1].key]);
     node.answer(&cold.server, 1, &levels, 0, Duration::from_millis(50));
-    let warm = node.route("b", &levels);
-    assert_eq!((warm.reason, warm.import_keys), (RouteReason::CachedPrefix, Vec::new()));
+    let cached = node.route("b", &levels);
+    assert_eq!((cached.reason, cached.import_keys), (RouteReason::CachedPrefix, Vec::new()));
 }
 
 #[test]
-fn a_server_that_lost_the_model_gets_no_request_for_it() {
+fn a_server_without_the_model_gets_no_request_for_it() {
     let mut node = Node::reported(12);
-    let home = warm(&mut node);
+    let home = cache_on_home(&mut node);
     let number = (0..12).find(|number| server(*number) == home).unwrap();
     let mut report = idle_report(1);
     report.models.retain(|it| it.model != crate::fixture::MODEL);
     node.advance(Duration::from_millis(1));
     node.report(number, report);
-    assert_ne!(node.route("a", &manual()).server, home);
+    assert_ne!(node.route("a", &manual_levels()).server, home);
 }
--- a/tests/routing/fixture.rs
+++ b/tests/routing/fixture.rs
@@ -1,4 +1,4 @@
-//! Documents, requests and reports for the tests.
+//! Documents, requests and load reports for the tests.
 
 use coriandertide::decision::routing::{
     AnswerFeedback, AnswerTiming, Expectation, PrefixLevel, PrefixScope, RouteDecision, RouteQuery,
@@ -16,7 +16,7 @@
 /// Model of the tests.
 pub const MODEL: &str = "manuals";
 
-/// Returns the settings of a property test with a fixed seed.
+/// Returns the configuration of a property test with a fixed seed.
 pub fn property_config(seed: u64) -> Config {
     let cases = std::env::var("COT_PROPTEST_CASES").ok().and_then(|text| text.parse().ok());
     Config {
@@ -72,7 +72,7 @@
     prompt_levels(scope, &body)
 }
 
-/// Returns the question for a request with `levels`.
+/// Returns the query of a request with `levels`.
 pub fn query(request: &str, levels: &[PrefixLevel]) -> RouteQuery {
     RouteQuery {
         request: request.into(),
@@ -83,7 +83,7 @@
     }
 }
 
-/// Returns the report of an idle engine.
+/// Returns the load report of an idle engine.
 pub fn idle_report(incarnation: u64) -> LoadReport {
     let loaded = |model: &'static str| LoadedModel {
         model: ModelId::new_static(model),
@@ -103,19 +103,19 @@
     }
 }
 
-/// Node under test: a routing state and its clock.
+/// Routing state of a node, with its virtual clock.
 pub struct Node {
     pub state: RoutingState,
     pub now: Instant,
 }
 
 impl Node {
-    /// Returns a node that has just read the document.
+    /// Returns a node with the document and no load reports.
     pub fn new(servers: usize) -> Self {
         Self::with_policy(servers, RoutingPolicy::Coriandertide)
     }
 
-    /// Returns a node with a policy that has just read the document.
+    /// Returns a node with `policy`, the document and no load reports.
     pub fn with_policy(servers: usize, policy: RoutingPolicy) -> Self {
         let state = RoutingState::new(policy, "norte".into(), RoutingConfig::default());
         let mut node = Self { state, now: Instant::now() };
@@ -123,7 +123,7 @@
         node
     }
 
-    /// Returns a node that has a report of each server in incarnation 1.
+    /// Returns a node with a load report of each server in incarnation 1.
     pub fn reported(servers: usize) -> Self {
         let mut node = Self::new(servers);
         for number in 0..servers {
@@ -157,7 +157,7 @@
         }));
     }
 
-    /// Takes in an answer whose first token came `first_token` after it was sent.
+    /// Applies an answer whose first token was received `first_token` after the request was sent.
     pub fn answer(
         &mut self,
         server: &ServerId,
--- a/tests/routing/homes.rs
+++ b/tests/routing/homes.rs
@@ -1,4 +1,4 @@
-//! Homes against a full sort, and the number of homes under load.
+//! Homes of a prefix against a full sort, and the number of homes under load.
 
 use crate::fixture::{Node, levels, property_config, server};
 use crate::naive::naive_homes;
@@ -7,18 +7,18 @@
 use proptest::prelude::*;
 use std::time::{Duration, Instant};
 
-const DEMAND: HomeCountInputs =
+const INPUTS: HomeCountInputs =
     HomeCountInputs { live_nodes: 4, occupancy_s: 1.0, concurrent_requests: 10, servers: 12 };
 
 proptest! {
     #![proptest_config(property_config(42))]
 
     #[test]
-    fn homes_are_those_of_a_full_sort(
+    fn homes_match_a_full_sort(
         hashes in proptest::collection::btree_set(any::<u64>(), 0..60),
         key in any::<u64>(),
         count in 1usize..10,
-        gone in any::<prop::sample::Index>(),
+        removed in any::<prop::sample::Index>(),
     ) {
         let servers: Vec<(u32, u64)> = (0..).zip(hashes).collect();
         let ranked = |servers: &[(u32, u64)]| -> Vec<u32> {
@@ -30,24 +30,27 @@
             return Ok(());
         }
         let mut fewer = servers.clone();
-        let (gone, _) = fewer.remove(gone.index(servers.len()));
-        let kept: Vec<u32> = ranked(&servers).into_iter().filter(|it| *it != gone).collect();
-        prop_assert_eq!(&ranked(&fewer)[..kept.len()], &kept[..]);
+        let (removed, _) = fewer.remove(removed.index(servers.len()));
+        let remaining: Vec<u32> =
+            ranked(&servers).into_iter().filter(|it| *it != removed).collect();
+        prop_assert_eq!(&ranked(&fewer)[..remaining.len()], &remaining[..]);
     }
 
     #[test]
-    fn homes_follow_the_rate_within_bounds(gaps_ms in proptest::collection::vec(1u64..2_000, 1..200)) {
+    fn home_count_follows_the_rate_within_bounds(
+        gaps_ms in proptest::collection::vec(1u64..2_000, 1..200),
+    ) {
         let config = RoutingConfig::default();
         let mut now = Instant::now();
         let mut rate = PrefixRate::new(now);
         for gap_ms in gaps_ms {
             now += Duration::from_millis(gap_ms);
             let before = rate.home_count();
-            rate.record_request(DEMAND, &config, now);
-            let wanted = rate.requests_per_s(config.rate_window, now) * 4.0 / 6.0;
+            rate.record_request(INPUTS, &config, now);
+            let needed_homes = rate.requests_per_s(config.rate_window, now) * 4.0 / 6.0;
             prop_assert!((1..=12).contains(&rate.home_count()));
-            prop_assert!(f64::from(rate.home_count()) >= wanted.min(12.0));
-            let may_shrink = wanted < f64::from(before - 1) * config.home_shrink_factor;
+            prop_assert!(f64::from(rate.home_count()) >= needed_homes.min(12.0));
+            let may_shrink = needed_homes < f64::from(before - 1) * config.home_shrink_factor;
             prop_assert!(rate.home_count() >= before || may_shrink);
         }
     }
@@ -61,7 +64,7 @@
     let mut homes = Vec::new();
     for number in 0..2_000 {
         now += Duration::from_millis(if number % 2 == 0 { 320 } else { 346 });
-        rate.record_request(DEMAND, &config, now);
+        rate.record_request(INPUTS, &config, now);
         homes.push(rate.home_count());
     }
     let changes = homes[100..].windows(2).filter(|pair| pair[0] != pair[1]).count();
@@ -69,14 +72,14 @@
 }
 
 #[test]
-fn restarted_nodes_agree_on_the_first_request() {
-    let mut seasoned = Node::reported(12);
-    seasoned.apply(RoutingEvent::LiveNodes(8));
+fn a_restarted_node_chooses_the_same_home_as_an_established_one() {
+    let mut established = Node::reported(12);
+    established.apply(RoutingEvent::LiveNodes(8));
     for manual in 0..40 {
         let manual = format!("manual {manual} ");
-        let fresh = Node::new(12);
+        let restarted = Node::new(12);
         let levels = levels("survey", "1", &manual, "how many lanes?");
-        assert_eq!(fresh.route("a", &levels).server, seasoned.route("b", &levels).server);
+        assert_eq!(restarted.route("a", &levels).server, established.route("b", &levels).server);
     }
 }
 
--- a/tests/routing/main.rs
+++ b/tests/routing/main.rs
@@ -1,4 +1,4 @@
-//! Tests of the routing decision against naive twins, in virtual time.
+//! Tests of routing decisions against naive reference implementations, in virtual time.
 
 #![allow(clippy::unwrap_used, reason = "a failed step of a test is to panic")]
 
--- a/tests/routing/naive.rs
+++ b/tests/routing/naive.rs
@@ -1,24 +1,25 @@
-//! Naive twins: flat lists and full sorts in place of the index and the ranked homes.
+//! Naive reference implementations: flat lists and full sorts instead of the prefix index and the
+//! ranked homes.
 
 use coriandertide::decision::routing::homes::rendezvous_hash;
 use std::collections::BTreeSet;
 use std::time::Instant;
 
-/// Belief of the naive index.
+/// Server that has a prefix cached.
 #[derive(Clone, Debug)]
-struct Belief {
+struct NaiveHolder {
     key: u64,
     server: u32,
     incarnation: u64,
     used_at: Instant,
 }
 
-/// Naive index: a list of beliefs and, by server, every incarnation ever seen.
+/// Naive index: a list of holders and, by server, every incarnation ever seen.
 #[derive(Clone, Debug, Default)]
 pub struct NaiveIndex {
-    beliefs: Vec<Belief>,
+    holders: Vec<NaiveHolder>,
     seen: Vec<(u32, u64)>,
-    doubted: BTreeSet<u32>,
+    unconfirmed: BTreeSet<u32>,
 }
 
 impl NaiveIndex {
@@ -26,7 +27,7 @@
         self.seen.iter().rev().find(|(known, _)| *known == server).map(|(_, it)| *it)
     }
 
-    /// Takes in that a server answered; returns whether it is its present incarnation.
+    /// Records that an incarnation answered; returns whether it is the server's current one.
     pub fn observe(&mut self, server: u32, incarnation: u64) -> bool {
         let is_last = self.last(server) == Some(incarnation);
         if !is_last && self.seen.contains(&(server, incarnation)) {
@@ -35,35 +36,35 @@
         if !is_last {
             self.seen.push((server, incarnation));
         }
-        self.doubted.remove(&server);
+        self.unconfirmed.remove(&server);
         true
     }
 
     pub fn mark_unconfirmed(&mut self, server: u32) {
-        self.doubted.insert(server);
+        self.unconfirmed.insert(server);
     }
 
-    pub fn current(&self, server: u32) -> Option<u64> {
-        self.last(server).filter(|_| !self.doubted.contains(&server))
+    pub fn confirmed(&self, server: u32) -> Option<u64> {
+        self.last(server).filter(|_| !self.unconfirmed.contains(&server))
     }
 
     pub fn store(&mut self, key: u64, server: u32, incarnation: u64, now: Instant) {
         self.remove(key, server);
-        self.beliefs.push(Belief { key, server, incarnation, used_at: now });
+        self.holders.push(NaiveHolder { key, server, incarnation, used_at: now });
     }
 
     pub fn remove(&mut self, key: u64, server: u32) {
-        self.beliefs.retain(|belief| (belief.key, belief.server) != (key, server));
+        self.holders.retain(|holder| (holder.key, holder.server) != (key, server));
     }
 
-    /// Returns the servers believed to hold `key` now, with the time of the last use.
+    /// Returns the current holders of `key`, with the time of the last use.
     pub fn holders(&self, key: u64) -> Vec<(u32, Instant)> {
         let mut holders: Vec<(u32, Instant)> = self
-            .beliefs
+            .holders
             .iter()
-            .filter(|belief| belief.key == key)
-            .filter(|belief| self.current(belief.server) == Some(belief.incarnation))
-            .map(|belief| (belief.server, belief.used_at))
+            .filter(|holder| holder.key == key)
+            .filter(|holder| self.confirmed(holder.server) == Some(holder.incarnation))
+            .map(|holder| (holder.server, holder.used_at))
             .collect();
         holders.sort_unstable();
         holders
--- a/tests/routing/poll.rs
+++ b/tests/routing/poll.rs
@@ -1,4 +1,4 @@
-//! Polls within the byte budget, in virtual time.
+//! Poll planning within the byte budget, in virtual time.
 
 use crate::fixture::{property_config, server};
 use coriandertide::decision::routing::{PollConfig, PollKind, PollPlanner};
@@ -18,7 +18,7 @@
         let mut planner = PollPlanner::new(config);
         let started_at = Instant::now();
         let mut spent_bytes = 0;
-        let mut asked = std::collections::BTreeSet::new();
+        let mut polled = std::collections::BTreeSet::new();
         for step in 0..400u64 {
             let now = started_at + Duration::from_millis(step * 100);
             (0..servers).for_each(|number| planner.mark_used(&server(number), now));
@@ -27,19 +27,19 @@
                 spent_bytes += bytes;
                 planner.complete(&poll, bytes);
                 if poll.kind == PollKind::Load {
-                    asked.insert(poll.server);
+                    polled.insert(poll.server);
                 }
             }
             let overdraft = 4_000.0 * servers as f64 * 2.0;
             let allowed = burst + budget * (step as f64) / 10.0 + overdraft;
             prop_assert!((spent_bytes as f64) <= allowed, "{spent_bytes} above {allowed}");
         }
-        prop_assert_eq!(asked.len(), servers);
+        prop_assert_eq!(polled.len(), servers);
     }
 }
 
 #[test]
-fn only_servers_in_use_are_polled_and_none_twice_at_once() {
+fn only_servers_in_use_without_a_pending_poll_are_polled() {
     let mut planner = PollPlanner::new(PollConfig::default());
     let now = Instant::now();
     planner.mark_used(&server(1), now);
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn a_report_that_came_with_an_answer_spares_a_poll() {
+fn a_load_report_with_an_answer_postpones_the_poll() {
     let mut planner = PollPlanner::new(PollConfig::default());
     let start = Instant::now();
     planner.mark_used(&server(1), start);
--- a/tests/routing/prefix.rs
+++ b/tests/routing/prefix.rs
@@ -1,4 +1,4 @@
-//! Levels and keys of prompts.
+//! Levels, keys and anchors of prompts.
 
 use crate::fixture::{MODEL, levels, property_config};
 use coriandertide::decision::routing::{PrefixLevel, PrefixScope, prompt_levels};
@@ -6,7 +6,7 @@
 use serde_json::{Value, json};
 use std::fmt::Write;
 
-fn cut(body: &Value) -> Vec<PrefixLevel> {
+fn body_levels(body: &Value) -> Vec<PrefixLevel> {
     let scope = PrefixScope {
         workspace: &"survey".into(),
         model: &MODEL.into(),
@@ -25,7 +25,7 @@
 
 #[test]
 fn a_conversation_keeps_the_manual_as_its_anchor() {
-    let levels = cut(&json!({"messages": [
+    let levels = body_levels(&json!({"messages": [
         {"role": "system", "content": "r".repeat(1_000)},
         {"role": "user", "content": "m".repeat(20_000)},
         {"role": "user", "content": "how many lanes?"},
@@ -43,7 +43,7 @@
 
 #[test]
 fn a_completion_prompt_is_cut_at_fixed_bytes() {
-    let levels = cut(&json!({"prompt": "p".repeat(9_000)}));
+    let levels = body_levels(&json!({"prompt": "p".repeat(9_000)}));
     insta::assert_snapshot!(table(&levels), @r"
     bytes=2048 tokens=512 anchor=false
     bytes=4096 tokens=1024 anchor=true
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn keys_of_another_workspace_model_or_version_never_meet() {
+fn keys_differ_between_workspaces_and_weights_versions() {
     let mut keys = std::collections::BTreeSet::new();
     for workspace in ["survey", "survey1", "pickup"] {
         for version in ["1", "11", "2"] {
@@ -76,14 +76,14 @@
             let messages = contents.iter().map(|it| json!({"role": "user", "content": it}));
             json!({"messages": messages.collect::<Vec<_>>()})
         };
-        let (left_levels, right_levels) = (cut(&body(&left)), cut(&body(&right)));
+        let (left_levels, right_levels) = (body_levels(&body(&left)), body_levels(&body(&right)));
         for (index, (l, r)) in left_levels.iter().zip(&right_levels).enumerate() {
             prop_assert_eq!(l.key == r.key, left[..=index] == right[..=index]);
         }
     }
 
     #[test]
-    fn one_anchor_and_growing_levels(
+    fn levels_grow_and_one_is_the_anchor(
         sizes in proptest::collection::vec(0usize..9_000, 0..50),
         prompt in proptest::option::of(0usize..200_000),
     ) {
@@ -95,7 +95,7 @@
             Some(size) => json!({"prompt": "y".repeat(size)}),
             None => json!({"messages": messages}),
         };
-        let levels = cut(&body);
+        let levels = body_levels(&body);
         prop_assert!(levels.len() <= 32);
         prop_assert!(levels.windows(2).all(|pair| pair[0].bytes <= pair[1].bytes));
         let anchors = levels.iter().filter(|level| level.anchor).count();
--- a/tests/routing/prefix_index.rs
+++ b/tests/routing/prefix_index.rs
@@ -1,4 +1,4 @@
-//! Beliefs against the naive index, and their bounds.
+//! The prefix index against a naive reference index, and its maximum size.
 
 use crate::fixture::{Node, document, idle_report, levels, property_config, server};
 use crate::naive::NaiveIndex;
@@ -54,28 +54,28 @@
     CacheEventPage { incarnation, next_event: 0, events: vec![event] }
 }
 
-fn apply_both(node: &mut Node, twin: &mut NaiveIndex, step: &Step) {
+fn apply_both(node: &mut Node, naive: &mut NaiveIndex, step: &Step) {
     let all = all_levels();
     let now = node.now;
     match *step {
         Step::Report { server: number, incarnation } => {
             node.report(number, idle_report(incarnation));
-            twin.observe(number as u32, incarnation);
+            naive.observe(number as u32, incarnation);
         }
         Step::Sent { server: number, keys } => {
             node.sent(&server(number), &all[..keys]);
-            if let Some(incarnation) = twin.current(number as u32) {
+            if let Some(incarnation) = naive.confirmed(number as u32) {
                 all[..keys]
                     .iter()
-                    .for_each(|it| twin.store(it.key, number as u32, incarnation, now));
+                    .for_each(|it| naive.store(it.key, number as u32, incarnation, now));
             }
         }
         Step::Answer { server: number, incarnation, keys } => {
             node.answer(&server(number), incarnation, &all[..keys], 0, Duration::ZERO);
-            if twin.observe(number as u32, incarnation) {
+            if naive.observe(number as u32, incarnation) {
                 all[..keys]
                     .iter()
-                    .for_each(|it| twin.store(it.key, number as u32, incarnation, now));
+                    .for_each(|it| naive.store(it.key, number as u32, incarnation, now));
             }
         }
         Step::Stored { server: number, incarnation, key } => {
@@ -83,21 +83,21 @@
             let event = CacheEvent::Stored { sequence: 0, prefix_key, tokens: 1 };
             let page = event_page(incarnation, event);
             node.apply(RoutingEvent::CacheEvents { server: server(number), page });
-            if twin.observe(number as u32, incarnation) {
-                twin.store(prefix_key, number as u32, incarnation, now);
+            if naive.observe(number as u32, incarnation) {
+                naive.store(prefix_key, number as u32, incarnation, now);
             }
         }
         Step::Evicted { server: number, incarnation, key } => {
             let prefix_key = all[key].key;
             let page = event_page(incarnation, CacheEvent::Evicted { sequence: 0, prefix_key });
             node.apply(RoutingEvent::CacheEvents { server: server(number), page });
-            if twin.observe(number as u32, incarnation) {
-                twin.remove(prefix_key, number as u32);
+            if naive.observe(number as u32, incarnation) {
+                naive.remove(prefix_key, number as u32);
             }
         }
         Step::Failed { server: number } => {
             node.apply(RoutingEvent::ServerFailed { server: server(number) });
-            twin.mark_unconfirmed(number as u32);
+            naive.mark_unconfirmed(number as u32);
         }
     }
 }
@@ -118,20 +118,20 @@
     #![proptest_config(property_config(43))]
 
     #[test]
-    fn beliefs_are_those_of_the_naive_index(steps in proptest::collection::vec(step(), 1..60)) {
+    fn holders_match_the_naive_index(steps in proptest::collection::vec(step(), 1..60)) {
         let mut node = Node::new(SERVERS);
-        let mut twin = NaiveIndex::default();
+        let mut naive = NaiveIndex::default();
         for step in &steps {
             node.advance(Duration::from_millis(7));
-            apply_both(&mut node, &mut twin, step);
+            apply_both(&mut node, &mut naive, step);
             for level in all_levels() {
-                prop_assert_eq!(holders(&node, level.key), twin.holders(level.key), "{:?}", step);
+                prop_assert_eq!(holders(&node, level.key), naive.holders(level.key), "{:?}", step);
             }
         }
     }
 
     #[test]
-    fn the_index_stays_within_its_bound(keys in proptest::collection::vec(0u64..500, 1..600)) {
+    fn index_stays_within_its_maximum_size(keys in proptest::collection::vec(0u64..500, 1..600)) {
         let config = RoutingConfig { max_prefixes: 50, max_holders: 2, ..RoutingConfig::default() };
         let mut state = RoutingState::new(RoutingPolicy::Coriandertide, "norte".into(), config);
         let mut now = Instant::now();
--- a/tests/shared/proptest_config.rs
+++ b/tests/shared/proptest_config.rs
@@ -1,8 +1,8 @@
-//! Configuration of property tests.
+//! Configuration of property tests, shared by the test targets.
 
 use proptest::test_runner::{Config, RngSeed};
 
-/// Configuration of property tests: fixed seed, more cases by `COT_PROPTEST_CASES`.
+/// Returns a configuration with a fixed seed; `COT_PROPTEST_CASES` sets the number of cases.
 pub fn proptest_config(seed: u64) -> Config {
     let cases = std::env::var("COT_PROPTEST_CASES").ok().and_then(|cases| cases.parse().ok());
     Config {
--- a/tests/traffic/admission.rs
+++ b/tests/traffic/admission.rs
@@ -1,4 +1,4 @@
-//! Admission: limits of workspaces, early refusal, and a flood that leaves the others alone.
+//! Admission: limits of workspaces, early refusal, and fairness under a flood of one workspace.
 
 use super::proptest_config;
 use coriandertide::decision::admission::{
@@ -14,8 +14,8 @@
 use std::time::{Duration, Instant};
 
 const REQUESTS_PER_S: u32 = 40;
-const WORKSPACE_RUNNING: u32 = 6;
-const SERVER_RUNNING: u32 = 8;
+const WORKSPACE_LIMIT: u32 = 6;
+const SERVER_CAPACITY: u32 = 8;
 
 fn document(requests_per_s: u32, concurrent_requests: u32) -> Document {
     let workspace = json!({
@@ -28,7 +28,7 @@
         "servers": { "s": {
             "address": "127.0.0.1:1",
             "availability_zone": "z",
-            "concurrent_requests": SERVER_RUNNING,
+            "concurrent_requests": SERVER_CAPACITY,
             "idle_watts": 1,
             "request_watts": 1,
         } },
@@ -81,7 +81,7 @@
 }
 
 #[test]
-fn refusals_say_when_to_come_back() {
+fn a_refusal_gives_a_valid_retry_time() {
     let now = Instant::now();
     let mut admission = admission(&document(1, 1_000), 1, now);
     let decisions: Vec<AdmissionDecision> = (0..3)
@@ -92,15 +92,15 @@
     assert_eq!(refusal.retry_at, now + Duration::from_secs(1));
     let again = request(3, "small", Priority::Normal, refusal.retry_at);
     assert_eq!(admission.submit(again, refusal.retry_at), AdmissionDecision::Start);
-    let stranger = admission.submit(request(4, "nobody", Priority::Normal, now), now);
+    let unknown = admission.submit(request(4, "nobody", Priority::Normal, now), now);
     assert!(matches!(
-        stranger,
+        unknown,
         AdmissionDecision::Refuse(refusal) if refusal.reason == RefusalReason::UnknownWorkspace
     ));
 }
 
 #[test]
-fn a_wait_ends_after_the_longest_wait_of_its_priority() {
+fn a_wait_ends_after_the_maximum_wait_of_its_priority() {
     let now = Instant::now();
     let mut lines = String::new();
     for priority in [Priority::Batch, Priority::Normal, Priority::Interactive] {
@@ -122,15 +122,15 @@
     ");
 }
 
-/// Runs a flood of `large` beside steady calls of `small`; each request takes 100 ms.
+/// Runs a flood of `large` beside steady requests of `small`; each request takes 100 ms.
 #[test]
-fn a_flood_of_one_workspace_leaves_the_others_alone() {
+fn a_flood_of_one_workspace_does_not_delay_another() {
     let start = Instant::now();
     let document = document(10_000, 1_000);
     let mut admission = admission(&document, 1, start);
     let mut ends: Vec<(Instant, AdmissionId)> = Vec::new();
     let mut waits: BTreeMap<&str, Vec<Duration>> = BTreeMap::new();
-    let mut offered: BTreeMap<AdmissionId, (&str, Instant)> = BTreeMap::new();
+    let mut submitted: BTreeMap<AdmissionId, (&str, Instant)> = BTreeMap::new();
     let mut refused: BTreeMap<&str, u32> = BTreeMap::new();
     let mut id = 0;
     for step_ms in 0..5_000_u64 {
@@ -140,12 +140,12 @@
             started.extend(admission.finish(ended, now));
         }
         for expired in admission.expire(now) {
-            *refused.entry(offered[&expired.id].0).or_default() += 1;
+            *refused.entry(submitted[&expired.id].0).or_default() += 1;
         }
         let small = (step_ms % 50 == 0).then_some("small");
         for workspace in std::iter::once("large").chain(small) {
             id += 1;
-            offered.insert(id, (workspace, now));
+            submitted.insert(id, (workspace, now));
             match admission.submit(request(id, workspace, Priority::Normal, now), now) {
                 AdmissionDecision::Start => started.push(id),
                 AdmissionDecision::Wait { .. } => {}
@@ -153,7 +153,7 @@
             }
         }
         for id in started {
-            let (workspace, at) = offered[&id];
+            let (workspace, at) = submitted[&id];
             waits.entry(workspace).or_default().push(now - at);
             ends.push((now + Duration::from_millis(100), id));
         }
@@ -162,15 +162,15 @@
     small.sort_unstable();
     assert_eq!(refused.get("small"), None, "a steady workspace below its share is never refused");
     let p95 = small[small.len() * 95 / 100];
-    assert!(p95 <= Duration::from_millis(100), "one service time at most, not {p95:?}");
+    assert!(p95 <= Duration::from_millis(100), "at most one service time, not {p95:?}");
     assert!(waits["large"].len() > 350, "the flood uses what is left: {}", waits["large"].len());
 }
 
 #[derive(Clone, Debug)]
 enum Step {
-    Offer { workspace: u8, priority: Priority },
+    Submit { workspace: u8, priority: Priority },
     Finish { nth: usize },
-    Leave { nth: usize },
+    Cancel { nth: usize },
     Advance { ms: u64 },
     Nodes { live_nodes: u32 },
 }
@@ -179,22 +179,23 @@
     let priority =
         prop_oneof![Just(Priority::Batch), Just(Priority::Normal), Just(Priority::Interactive)];
     prop_oneof![
-        5 => (0..3_u8, priority).prop_map(|(workspace, priority)| Step::Offer { workspace, priority }),
+        5 => (0..3_u8, priority)
+            .prop_map(|(workspace, priority)| Step::Submit { workspace, priority }),
         3 => (0..16_usize).prop_map(|nth| Step::Finish { nth }),
-        1 => (0..16_usize).prop_map(|nth| Step::Leave { nth }),
+        1 => (0..16_usize).prop_map(|nth| Step::Cancel { nth }),
         3 => (0..400_u64).prop_map(|ms| Step::Advance { ms }),
         1 => (1..9_u32).prop_map(|live_nodes| Step::Nodes { live_nodes }),
     ]
 }
 
-/// Everything that a ledger with full knowledge keeps of one run.
+/// Running and waiting requests as derived from the decisions.
 #[derive(Default)]
-struct Ledger {
+struct AdmissionModel {
     running: BTreeMap<AdmissionId, String>,
     waiting: BTreeMap<AdmissionId, (String, Instant)>,
 }
 
-impl Ledger {
+impl AdmissionModel {
     fn start(&mut self, ids: Vec<AdmissionId>) -> Result<(), TestCaseError> {
         for id in ids {
             let started = self.waiting.remove(&id);
@@ -212,65 +213,64 @@
 proptest! {
     #![proptest_config(proptest_config(42))]
 
-    /// Each request gets one verdict by the time it was told, and no limit is ever exceeded by a
-    /// request that starts.
+    /// Each request gets one decision by its expiry, and no request that starts exceeds a limit.
     #[test]
-    fn each_request_gets_one_verdict_in_time_and_no_limit_is_exceeded(
+    fn each_request_gets_one_decision_in_time_and_no_limit_is_exceeded(
         steps in proptest::collection::vec(step(), 1..150),
     ) {
         let mut now = Instant::now();
-        let document = document(100_000, WORKSPACE_RUNNING);
+        let document = document(100_000, WORKSPACE_LIMIT);
         let mut admission = admission(&document, 1, now);
         let mut nodes = 1;
-        let mut ledger = Ledger::default();
+        let mut model = AdmissionModel::default();
         for (id, step) in (0_u64..).zip(steps) {
-            let before = ledger.running.len();
+            let before = model.running.len();
             match step {
-                Step::Offer { workspace, priority } => {
+                Step::Submit { workspace, priority } => {
                     let name = ["large", "small", "third"][usize::from(workspace)];
                     match admission.submit(request(id, name, priority, now), now) {
                         AdmissionDecision::Start => {
-                            ledger.running.insert(id, name.to_owned());
+                            model.running.insert(id, name.to_owned());
                         }
                         AdmissionDecision::Wait { expires_at } => {
-                            ledger.waiting.insert(id, (name.to_owned(), expires_at));
+                            model.waiting.insert(id, (name.to_owned(), expires_at));
                         }
                         AdmissionDecision::Refuse(refusal) => prop_assert!(refusal.retry_at > now),
                     }
                 }
                 Step::Finish { nth } => {
-                    let Some(&ended) = ledger.running.keys().nth(nth) else { continue };
-                    ledger.running.remove(&ended);
-                    ledger.start(admission.finish(ended, now))?;
+                    let Some(&ended) = model.running.keys().nth(nth) else { continue };
+                    model.running.remove(&ended);
+                    model.start(admission.finish(ended, now))?;
                 }
-                Step::Leave { nth } => {
-                    let Some(&left) = ledger.waiting.keys().nth(nth) else { continue };
-                    ledger.waiting.remove(&left);
-                    prop_assert!(admission.finish(left, now).is_empty());
+                Step::Cancel { nth } => {
+                    let Some(&cancelled) = model.waiting.keys().nth(nth) else { continue };
+                    model.waiting.remove(&cancelled);
+                    prop_assert!(admission.finish(cancelled, now).is_empty());
                 }
                 Step::Advance { ms } => {
                     now += Duration::from_millis(ms);
                     for refused in admission.expire(now) {
-                        let (_, expires_at) = ledger.waiting.remove(&refused.id).unwrap();
+                        let (_, expires_at) = model.waiting.remove(&refused.id).unwrap();
                         prop_assert!(expires_at <= now);
                     }
-                    prop_assert!(ledger.waiting.values().all(|(_, expires_at)| *expires_at > now));
+                    prop_assert!(model.waiting.values().all(|(_, expires_at)| *expires_at > now));
                 }
                 Step::Nodes { live_nodes } => {
                     nodes = live_nodes;
-                    ledger.start(admission.set_limits(&document, live_nodes, now))?;
+                    model.start(admission.set_limits(&document, live_nodes, now))?;
                 }
             }
-            prop_assert_eq!(admission.running(), ledger.running.len());
-            prop_assert_eq!(admission.waiting(), ledger.waiting.len());
-            if ledger.running.len() > before {
+            prop_assert_eq!(admission.running(), model.running.len());
+            prop_assert_eq!(admission.waiting(), model.waiting.len());
+            if model.running.len() > before {
                 let factor = AdmissionConfig::default().overcommit_factor;
-                let most = (f64::from(SERVER_RUNNING) * factor / f64::from(nodes)).ceil();
-                prop_assert!(ledger.running.len() as f64 <= most);
+                let limit = (f64::from(SERVER_CAPACITY) * factor / f64::from(nodes)).ceil();
+                prop_assert!(model.running.len() as f64 <= limit);
             }
-            let own = WORKSPACE_RUNNING.div_ceil(nodes) as usize;
-            if let Some(workspace) = ledger.running.get(&id) {
-                prop_assert!(ledger.count(workspace) <= own, "{}", format_smolstr!("{workspace}"));
+            let limit = WORKSPACE_LIMIT.div_ceil(nodes) as usize;
+            if let Some(workspace) = model.running.get(&id) {
+                prop_assert!(model.count(workspace) <= limit, "{}", format_smolstr!("{workspace}"));
             }
         }
     }
--- a/tests/traffic/fairness.rs
+++ b/tests/traffic/fairness.rs
@@ -1,4 +1,4 @@
-//! The fair queue against its naive twin.
+//! The fair queue against a naive reference queue.
 
 use super::naive_queue::NaiveQueue;
 use super::proptest_config;
@@ -38,58 +38,58 @@
     #![proptest_config(proptest_config(41))]
 
     #[test]
-    fn the_queue_agrees_with_its_naive_twin(steps in proptest::collection::vec(step(), 1..120)) {
+    fn the_queue_matches_the_naive_queue(steps in proptest::collection::vec(step(), 1..120)) {
         let start = Instant::now();
         let mut queue = FairQueue::default();
-        let mut twin = NaiveQueue::default();
+        let mut naive = NaiveQueue::default();
         for (id, step) in (0_u64..).zip(steps) {
             match step {
                 Step::Push { workspace, priority, tokens, wait_ms } => {
-                    let waiting = Waiter {
+                    let waiter = Waiter {
                         id,
                         workspace: format_smolstr!("w{workspace}"),
                         priority,
                         tokens,
                         expires_at: start + Duration::from_millis(wait_ms),
                     };
-                    let ahead = queue.requests_ahead(&waiting.workspace, priority);
-                    prop_assert_eq!(ahead, twin.requests_ahead(&waiting.workspace, priority));
-                    queue.push(waiting.clone());
-                    twin.waiting.push(waiting);
+                    let ahead = queue.requests_ahead(&waiter.workspace, priority);
+                    prop_assert_eq!(ahead, naive.requests_ahead(&waiter.workspace, priority));
+                    queue.push(waiter.clone());
+                    naive.waiting.push(waiter);
                 }
                 Step::Pop { blocked } => {
                     let blocked = format_smolstr!("w{blocked}");
                     let popped = queue.pop(|workspace| *workspace != blocked);
-                    prop_assert_eq!(popped, twin.pop(|workspace| *workspace != blocked));
+                    prop_assert_eq!(popped, naive.pop(|workspace| *workspace != blocked));
                 }
                 Step::Charge { workspace, tokens } => {
                     let workspace = format_smolstr!("w{workspace}");
                     queue.charge(&workspace, tokens);
-                    twin.charge(&workspace, tokens);
+                    naive.charge(&workspace, tokens);
                 }
                 Step::Remove { nth } => {
-                    let Some(id) = twin.waiting.get(nth).map(|waiting| waiting.id) else {
+                    let Some(id) = naive.waiting.get(nth).map(|waiter| waiter.id) else {
                         continue;
                     };
                     prop_assert!(queue.remove(id).is_some());
-                    twin.waiting.remove(nth);
+                    naive.waiting.remove(nth);
                 }
                 Step::Expire { at_ms } => {
                     let now = start + Duration::from_millis(at_ms);
                     let mut expired: Vec<u64> =
-                        queue.remove_expired(now).iter().map(|waiting| waiting.id).collect();
+                        queue.remove_expired(now).iter().map(|waiter| waiter.id).collect();
                     expired.sort_unstable();
-                    let expected: Vec<u64> = twin
+                    let expected: Vec<u64> = naive
                         .waiting
                         .iter()
-                        .filter(|waiting| waiting.expires_at <= now)
-                        .map(|waiting| waiting.id)
+                        .filter(|waiter| waiter.expires_at <= now)
+                        .map(|waiter| waiter.id)
                         .collect();
-                    twin.waiting.retain(|waiting| waiting.expires_at > now);
+                    naive.waiting.retain(|waiter| waiter.expires_at > now);
                     prop_assert_eq!(expired, expected);
                 }
             }
-            prop_assert_eq!(queue.len(), twin.waiting.len());
+            prop_assert_eq!(queue.len(), naive.waiting.len());
         }
     }
 }
--- a/tests/traffic/frames.rs
+++ b/tests/traffic/frames.rs
@@ -1,4 +1,4 @@
-//! Frames that are repeated, lost or early never reach the caller out of order.
+//! Frame order of an answer whose frames are lost, repeated or swapped over several attempts.
 
 use super::proptest_config;
 use coriandertide::decision::frame_order::{FrameAction, FrameOrder, FramePosition};
@@ -6,7 +6,7 @@
 
 const PIECES: u64 = 12;
 
-/// One attempt: where it starts, and which of its frames are lost, repeated or swapped.
+/// Attempt that may restart at an earlier frame, break off, and lose, repeat or swap frames.
 #[derive(Clone, Debug)]
 struct Attempt {
     starts_early_by: u64,
@@ -93,6 +93,8 @@
     for number in 0..3 {
         assert_eq!(order.accept(FramePosition::Piece(number)), FrameAction::Relay);
     }
-    let FrameAction::Refuse(fault) = order.accept(FramePosition::End(1)) else { panic!("taken") };
-    insta::assert_snapshot!(fault, @"answer ended with frame 1, before frame 3");
+    let FrameAction::Refuse(error) = order.accept(FramePosition::End(1)) else {
+        panic!("not refused")
+    };
+    insta::assert_snapshot!(error, @"answer ended with frame 1, before frame 3");
 }
--- a/tests/traffic/main.rs
+++ b/tests/traffic/main.rs
@@ -1,4 +1,5 @@
-//! Decisions of the traffic threads: admission, retries and poison requests, in virtual time.
+//! Tests of the traffic threads' decisions in virtual time: admission, retries, poison requests and
+//! frame order.
 
 #![allow(clippy::unwrap_used, reason = "a failed step of a test is to panic")]
 
--- a/tests/traffic/poison.rs
+++ b/tests/traffic/poison.rs
@@ -1,4 +1,4 @@
-//! Strikes: delivered in any order and any number of times, they come to the same.
+//! Strikes give the same suspicion in any order and number of deliveries.
 
 use super::proptest_config;
 use coriandertide::decision::poison::{PoisonState, REFUSAL_STRIKES, Strike, Suspicion};
@@ -19,24 +19,24 @@
     #![proptest_config(proptest_config(43))]
 
     #[test]
-    fn strikes_count_once_a_server_however_they_are_told(
+    fn strikes_count_once_per_server_in_any_order(
         strikes in proptest::collection::vec(strike(), 0..40),
     ) {
         let now = Instant::now();
         let mut state = PoisonState::default();
-        let mut told = BTreeSet::new();
+        let mut added = BTreeSet::new();
         for strike in &strikes {
-            prop_assert_eq!(state.add(strike.clone(), now), told.insert(strike.clone()));
+            prop_assert_eq!(state.add(strike.clone(), now), added.insert(strike.clone()));
         }
         for fingerprint in 0..4 {
             let crashes = |fingerprint: u64| -> BTreeSet<_> {
-                let own = told.iter().filter(|strike| strike.fingerprint == fingerprint);
-                own.map(|strike| (&strike.server, strike.incarnation)).collect()
+                let of_request = added.iter().filter(|strike| strike.fingerprint == fingerprint);
+                of_request.map(|strike| (&strike.server, strike.incarnation)).collect()
             };
             let is_shared = (0..4)
                 .filter(|other| *other != fingerprint)
                 .any(|other| crashes(fingerprint).is_subset(&crashes(other)));
-            let servers: BTreeSet<_> = told
+            let servers: BTreeSet<_> = added
                 .iter()
                 .filter(|strike| strike.fingerprint == fingerprint)
                 .map(|strike| &strike.server)
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn strikes_end_and_a_request_that_ran_is_cleared() {
+fn strikes_expire_and_a_completed_request_is_cleared() {
     let now = Instant::now();
     let later = now + Duration::from_secs(3_601);
     let strike = |server: &str| Strike { fingerprint: 7, server: server.into(), incarnation: 1 };
@@ -63,7 +63,10 @@
     assert_eq!(state.view().suspicion(7, now), Suspicion::Suspect);
     state.clear_strikes(7);
     assert_eq!(state.view().suspicion(7, now), Suspicion::None);
-    assert!(!state.add(strike("a"), now), "a cleared strike that is told again changes nothing");
+    assert!(
+        !state.add(strike("a"), now),
+        "a cleared strike that is delivered again changes nothing"
+    );
     assert_eq!(state.view().suspicion(7, now), Suspicion::None);
     state.add(strike("b"), now);
     assert_eq!(state.view().suspicion(7, now), Suspicion::Suspect);
--- a/tests/traffic/retry.rs
+++ b/tests/traffic/retry.rs
@@ -1,4 +1,4 @@
-//! The retry budget bounds retries to a share of the traffic.
+//! The retry budget limits retries to a fraction of the traffic.
 
 use coriandertide::decision::retry::{
     FailedAttempt, GiveUpReason, RetryBudget, RetryDecision, decide,
@@ -11,7 +11,7 @@
 }
 
 #[test]
-fn retries_stay_a_share_of_the_traffic_while_everything_fails() {
+fn retries_stay_a_fraction_of_the_traffic_while_everything_fails() {
     let start = Instant::now();
     let mut budget = RetryBudget::new(start);
     let mut retries = 0;
@@ -23,12 +23,15 @@
             retries += 1;
         }
     }
-    let most = 20 + 10_000 / 10 + 10;
-    assert!(retries <= most, "{retries} retries of 10000 requests in 10 s, at most {most}");
+    let max_retries = 20 + 10_000 / 10 + 10;
+    assert!(
+        retries <= max_retries,
+        "{retries} retries of 10000 requests in 10 s, at most {max_retries}"
+    );
 }
 
 #[test]
-fn each_way_to_give_up_has_its_reason() {
+fn each_case_without_a_retry_has_its_reason() {
     let now = Instant::now();
     let later = now + Duration::from_secs(60);
     let mut full = RetryBudget::new(now);
