--- a/src/decision/relay/admission.rs
+++ b/src/decision/relay/admission.rs
@@ -16,7 +16,7 @@
 const RETRY_REMAINING_FRACTION: f64 = 0.95;
 
 /// Maximum expected wait of a retry: callers drop a stream that has not begun after two seconds.
-const MAX_EXPECTED_MS: f64 = 1_500.0;
+const MAX_RETRY_EXPECTED_MS: f64 = 1_500.0;
 
 /// Maximum delay after which a refused caller is told to retry.
 const MAX_RETRY_DELAY_MS: f64 = 1_500.0;
@@ -57,7 +57,7 @@
             return None;
         }
         let limit_ms = if self.is_retry() {
-            (self.remaining_ms * REMAINING_TIME_FRACTION).min(MAX_EXPECTED_MS)
+            (self.remaining_ms * REMAINING_TIME_FRACTION).min(MAX_RETRY_EXPECTED_MS)
         } else {
             (self.latency_objective_ms * FIRST_TRY_OBJECTIVE_FRACTION)
                 .min(self.remaining_ms * REMAINING_TIME_FRACTION)
@@ -65,7 +65,7 @@
         if expected_ms <= limit_ms {
             return None;
         }
-        let excess_ms = (expected_ms - limit_ms / 2.0).min(MAX_RETRY_DELAY_MS);
-        Some(now + Duration::from_secs_f64(excess_ms / 1_000.0))
+        let retry_delay_ms = (expected_ms - limit_ms / 2.0).min(MAX_RETRY_DELAY_MS);
+        Some(now + Duration::from_secs_f64(retry_delay_ms / 1_000.0))
     }
 }
--- a/src/decision/relay/choose.rs
+++ b/src/decision/relay/choose.rs
@@ -77,7 +77,7 @@
 #[derive(Clone, Copy, Debug, Display, Eq, IntoStaticStr, PartialEq)]
 #[strum(serialize_all = "snake_case")]
 pub enum UnavailableReason {
-    /// The service has no servers.
+    /// The service has no ready server that has not been tried.
     NoServer,
     /// All servers are unreachable or silent.
     Unreachable,
@@ -187,7 +187,7 @@
     }
 }
 
-/// Cost in milliseconds with its server.
+/// Server with its cost in milliseconds.
 pub(super) type CostedServer<'a> = (f64, &'a Server);
 
 /// Builds the choice of `best`.
--- a/src/decision/relay/engine_choice.rs
+++ b/src/decision/relay/engine_choice.rs
@@ -359,9 +359,11 @@
     possibly_cached_at: Option<SocketAddr>,
 }
 
+/// What a server would prefill, fetch and save of a prompt.
 #[derive(Default)]
 struct PromptPlan {
     prefill_tokens: u32,
+    /// Tokens among them that another server has prefilled recently.
     recomputed_tokens: u32,
     fetched_tokens: u32,
     choice: PromptChoice,
--- a/src/decision/relay/health.rs
+++ b/src/decision/relay/health.rs
@@ -75,11 +75,15 @@
 #[derive(Clone, Debug, Default)]
 pub struct Health {
     suspended_until: Option<Instant>,
+    /// Suspensions since the last success.
     suspensions: u32,
+    /// Moving average of failures, from 0 to 1.
     failure_rate: f64,
+    /// Moving average of the time beyond the expectation.
     slowness_ms: f64,
     updated_at: Option<Instant>,
     last_contact_at: Option<Instant>,
+    /// Unanswered attempts with the times at which they were sent.
     unanswered: BTreeMap<u64, Instant>,
     /// When the server was last found silent, `None` after a later contact.
     silent_at: Option<Instant>,
--- a/src/decision/relay/load_exchange.rs
+++ b/src/decision/relay/load_exchange.rs
@@ -63,6 +63,7 @@
     nodes: u32,
     /// Nodes and loads of the last message to the neighbour.
     last_sent: Option<(u32, Vec<(ServerId, ServerLoad)>)>,
+    /// When to send even an unchanged load.
     repeat_at: Option<Instant>,
     /// Stored prefixes to send to the neighbour.
     stored: Vec<PrefixKey>,
--- a/src/decision/relay/prefix_index.rs
+++ b/src/decision/relay/prefix_index.rs
@@ -22,6 +22,7 @@
 /// Maximum prefixes in the index.
 const MAX_PREFIXES: usize = 16_384;
 
+/// What is known of one prefix.
 #[derive(Clone, Debug, Default)]
 struct PrefixRecord {
     stored_until: Option<Instant>,
@@ -43,7 +44,9 @@
 #[derive(Clone, Debug, Default)]
 pub struct PrefixIndex {
     prefixes: HashMap<PrefixKey, PrefixRecord>,
+    /// Stored prefixes to report to partners.
     newly_stored: Vec<PrefixKey>,
+    /// Cached prefixes to report to partners.
     newly_cached: Vec<CachedPrefix>,
 }
 
--- a/src/decision/relay/read_schedule.rs
+++ b/src/decision/relay/read_schedule.rs
@@ -47,6 +47,7 @@
     Wait(Instant),
 }
 
+/// Read schedule of one topic.
 #[derive(Clone, Copy, Debug, Default)]
 struct TopicSchedule {
     /// Number of nodes that rank before this one among the followers.
--- a/src/decision/relay/register_lease.rs
+++ b/src/decision/relay/register_lease.rs
@@ -22,12 +22,15 @@
     pub holder: InstanceId,
 }
 
+/// Newest known record.
 #[derive(Clone, Debug)]
 struct KnownRecord {
     record: RegisterRecord,
+    /// When its lease has certainly expired.
     free_at: Instant,
 }
 
+/// Lease held by this node.
 #[derive(Clone, Copy, Debug)]
 struct HeldLease {
     number: FencingNumber,
--- a/src/decision/relay/replica.rs
+++ b/src/decision/relay/replica.rs
@@ -56,6 +56,7 @@
     pub end: LogOffset,
 }
 
+/// Records of one topic.
 #[derive(Clone, Debug, Default)]
 struct TopicReplica {
     records: BTreeMap<SmolStr, KeyedRecord>,
--- a/src/decision/relay/resend.rs
+++ b/src/decision/relay/resend.rs
@@ -28,6 +28,7 @@
     }
 }
 
+/// Send times of a service's requests within the window.
 #[derive(Clone, Debug, Default)]
 struct ServiceWindow {
     first_sends: VecDeque<Instant>,
--- a/src/decision/relay/rollout.rs
+++ b/src/decision/relay/rollout.rs
@@ -12,19 +12,20 @@
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
-/// Load of new weights that a server was ordered to do.
+/// Replacement of a server's weights in progress.
 #[derive(Clone, Copy, Debug)]
 struct WeightsChange {
     /// Orders that the server had accepted before this one.
     accepted_orders: u64,
-    /// When the load should be finished, `None` if only the server's report shows that.
+    /// When the server should have loaded the weights, `None` if only its report shows that.
     loaded_at: Option<Instant>,
-    /// Time from which reports are recent enough to show the load.
+    /// Time from which a report would show the new weights.
     settled_at: Instant,
-    /// Whether the server was reopened because the load should be finished.
+    /// Whether the server was reopened because it should have loaded the weights.
     is_open: bool,
 }
 
+/// Progress of one server.
 #[derive(Clone, Copy, Debug)]
 enum Step {
     /// Closed until its requests have ended; `evicts_streams` says whether resumable streams must
@@ -36,7 +37,7 @@
     Ordering { timeout_at: Instant, accepted_orders: u64 },
     /// Loading the weights; its report is requested at `report_at`.
     Loading { report_at: Instant, change: WeightsChange },
-    /// Report requested to confirm the load.
+    /// Report requested to confirm the new weights.
     Confirming { timeout_at: Instant, change: WeightsChange },
     /// Not ordered before `until`, since it did not answer.
     BackingOff { until: Instant },
@@ -56,7 +57,7 @@
 /// Consecutive unanswered report requests after which a server is skipped for a while.
 const MAX_REPORT_FAILURES: u32 = 2;
 
-/// Rollout of one model's weights, run by the only coordinator.
+/// Rollout of one model's weights, run by a single coordinator.
 #[derive(Clone, Debug)]
 pub struct Rollout {
     settings: RolloutSettings,
@@ -266,7 +267,9 @@
             Some(Step::Reporting { timeout_at, failures }) if now >= timeout_at => {
                 commands.extend(self.fail_report(id, failures, now));
             }
-            Some(Step::Ordering { timeout_at: lost, accepted_orders }) if now >= lost => {
+            Some(Step::Ordering { timeout_at: expired_at, accepted_orders })
+                if now >= expired_at =>
+            {
                 self.await_report(id, now, accepted_orders, now);
             }
             Some(Step::Loading { report_at, change }) if now >= report_at => {
@@ -276,7 +279,7 @@
             Some(Step::Loading { report_at, change })
                 if !change.is_open && change.loaded_at.is_some_and(|at| now >= at) =>
             {
-                // Reports lag, so the server is reopened when the load should be finished and
+                // Reports lag, so the server is reopened when it should have loaded the weights, and
                 // confirmed later.
                 let change = WeightsChange { is_open: true, ..change };
                 self.steps.insert(id.clone(), Step::Loading { report_at, change });
@@ -284,7 +287,7 @@
                     self.orders.get(id).map_or(self.revision, |conditions| conditions.revision);
                 commands.push(RolloutCommand::Finish { server: id.clone(), revision });
             }
-            Some(Step::Confirming { timeout_at: lost, .. }) if now >= lost => {
+            Some(Step::Confirming { timeout_at: expired_at, .. }) if now >= expired_at => {
                 self.steps.insert(id.clone(), Step::Reporting { timeout_at, failures: 0 });
                 commands.push(RolloutCommand::Report(id.clone()));
             }
@@ -349,8 +352,8 @@
         commands: &mut Vec<RolloutCommand>,
     ) {
         let half = servers.len().div_ceil(2);
-        let fraction = (servers.len() as f64 * self.settings.closed_fraction) as usize;
-        let max_closed = fraction.max(2 * self.settings.min_loading).min(half).max(1);
+        let share = (servers.len() as f64 * self.settings.closed_fraction) as usize;
+        let max_closed = share.max(2 * self.settings.min_loading).min(half).max(1);
         let busy = self.steps.values().filter(|step| match step {
             Step::Loading { change, .. } | Step::Confirming { change, .. } => {
                 change.loaded_at.is_none_or(|at| now < at)
@@ -373,8 +376,8 @@
     }
 
     fn max_loading(&self, servers: &[RolloutServer]) -> usize {
-        let fraction = (servers.len() as f64 * self.settings.loading_fraction) as usize;
-        fraction.max(self.settings.min_loading)
+        let share = (servers.len() as f64 * self.settings.loading_fraction) as usize;
+        share.max(self.settings.min_loading)
     }
 
     fn fail_report(&mut self, id: &ServerId, failures: u32, now: Instant) -> Vec<RolloutCommand> {
--- a/src/decision/relay/server.rs
+++ b/src/decision/relay/server.rs
@@ -12,8 +12,8 @@
 /// take: entries that expire during an outage of the server list are back within two seconds.
 const MISSING_ENTRY_GRACE: Duration = Duration::from_millis(1_700);
 
-/// Time constant after which a partner's update includes requests sent concurrently with this
-/// node's own; nodes send loads several times as often.
+/// Time constant with which this node's recent requests stop indicating unreported ones of other
+/// nodes, which send their loads several times within it.
 const UNREPORTED_DECAY_PERIOD: Duration = Duration::from_millis(150);
 
 /// Fraction of this node's recent prompt tokens that each other node is assumed to have sent too.
@@ -200,8 +200,10 @@
     /// Hash of the id for rendezvous hashing.
     pub id_hash: u64,
     partner_updates: BTreeMap<InstanceId, PartnerUpdate>,
-    recent_tokens: f64,
-    recent_at: Option<Instant>,
+    /// Prompt tokens of this node's recent requests, with exponential decay.
+    recent_prompt_tokens: f64,
+    recent_updated_at: Option<Instant>,
+    /// When the server expires because its entry is missing, `None` while it has an entry.
     expires_at: Option<Instant>,
     closed_until: Option<Instant>,
     evicted_until: Option<Instant>,
@@ -218,8 +220,8 @@
             health: Health::default(),
             local_load: ServerLoad::default(),
             partner_updates: BTreeMap::new(),
-            recent_tokens: 0.0,
-            recent_at: None,
+            recent_prompt_tokens: 0.0,
+            recent_updated_at: None,
             expires_at: None,
             closed_until: None,
             evicted_until: None,
@@ -363,8 +365,8 @@
     pub fn add_local_load(&mut self, load: ServerLoad, now: Instant) {
         self.local_load.add(load);
         let tokens = load.unread_tokens.ahead_of(u8::MAX);
-        self.recent_tokens = self.decayed_recent_tokens(now) + f64::from(tokens);
-        self.recent_at = Some(now);
+        self.recent_prompt_tokens = self.decayed_recent_tokens(now) + f64::from(tokens);
+        self.recent_updated_at = Some(now);
     }
 
     /// Returns the prompt tokens that other nodes have probably sent without having reported them:
@@ -375,9 +377,10 @@
     }
 
     fn decayed_recent_tokens(&self, now: Instant) -> f64 {
-        let Some(recent_at) = self.recent_at else { return 0.0 };
-        let age = now.saturating_duration_since(recent_at);
-        self.recent_tokens * (-age.as_secs_f64() / UNREPORTED_DECAY_PERIOD.as_secs_f64()).exp()
+        let Some(recent_updated_at) = self.recent_updated_at else { return 0.0 };
+        let age = now.saturating_duration_since(recent_updated_at);
+        self.recent_prompt_tokens
+            * (-age.as_secs_f64() / UNREPORTED_DECAY_PERIOD.as_secs_f64()).exp()
     }
 
     /// Drops a partner's update.
