--- a/tests/relay/rollout.rs
+++ b/tests/relay/rollout.rs
@@ -133,7 +133,7 @@
 
     /// Simulates `length` of the rollout; returns when all responsive servers have loaded
     /// `revision`.
-    fn play(&mut self, rollout: &mut Rollout, revision: u64, length: Duration) -> Option<Duration> {
+    fn run(&mut self, rollout: &mut Rollout, revision: u64, length: Duration) -> Option<Duration> {
         let mut done_at = None;
         let mut now = self.start;
         while now < self.start + length {
@@ -144,8 +144,8 @@
                 queue.extend(self.carry_out(rollout, command, now));
             }
             let live = self.servers.values().filter(|server| !server.is_unresponsive);
-            let all_changed = live.clone().all(|server| server.revision >= revision);
-            if all_changed && self.closed.is_empty() {
+            let all_loaded = live.clone().all(|server| server.revision >= revision);
+            if all_loaded && self.closed.is_empty() {
                 done_at.get_or_insert(now - self.start);
             }
             now += ms(5);
@@ -211,7 +211,7 @@
 #[test]
 fn twelve_servers_load_within_four_seconds_with_at_most_a_third_closed() {
     let mut simulation = Simulation::new(12, Instant::now());
-    let took = simulation.play(&mut rollout(), 2, ms(8_000)).unwrap();
+    let took = simulation.run(&mut rollout(), 2, ms(8_000)).unwrap();
     assert!(took < ms(4_000), "{took:?}");
     assert!(simulation.max_closed <= 4, "{}", simulation.max_closed);
     assert_eq!((simulation.ordered, simulation.keep_orders), (12, 0));
@@ -220,13 +220,13 @@
 #[test]
 fn a_single_server_is_updated() {
     let mut simulation = Simulation::new(1, Instant::now());
-    assert!(simulation.play(&mut rollout(), 2, ms(4_000)).is_some());
+    assert!(simulation.run(&mut rollout(), 2, ms(4_000)).is_some());
 }
 
 #[test]
 fn no_open_server_loads() {
     let mut simulation = Simulation::new(12, Instant::now());
-    simulation.play(&mut rollout(), 2, ms(8_000));
+    simulation.run(&mut rollout(), 2, ms(8_000));
     let rejected: u64 = simulation.servers.values().map(|server| server.rejected_ms).sum();
     assert_eq!(rejected, 0);
 }
@@ -236,7 +236,7 @@
 fn all_servers_are_updated_despite_lost_and_late_orders() {
     let mut simulation = Simulation::new(12, Instant::now());
     simulation.lose_every = Some(2);
-    let took = simulation.play(&mut rollout(), 2, ms(12_000)).unwrap();
+    let took = simulation.run(&mut rollout(), 2, ms(12_000)).unwrap();
     assert!(took < ms(8_000), "{took:?}");
     assert!(simulation.servers.values().all(|server| server.revision == 2));
 }
@@ -248,7 +248,7 @@
     for index in 0..3 {
         simulation.servers.get_mut(&format_smolstr!("s{index}")).unwrap().is_unresponsive = true;
     }
-    let took = simulation.play(&mut rollout(), 2, ms(8_000)).unwrap();
+    let took = simulation.run(&mut rollout(), 2, ms(8_000)).unwrap();
     assert!(took < ms(4_000), "{took:?}");
 }
 
@@ -256,10 +256,10 @@
 fn a_newer_revision_replaces_the_running_rollout() {
     let mut simulation = Simulation::new(12, Instant::now());
     let mut rollout = rollout();
-    assert_eq!(simulation.play(&mut rollout, 9, ms(1_000)), None);
+    assert_eq!(simulation.run(&mut rollout, 9, ms(1_000)), None);
     rollout.retarget(3);
     simulation.start += ms(1_000);
-    let took = simulation.play(&mut rollout, 3, ms(8_000)).unwrap();
+    let took = simulation.run(&mut rollout, 3, ms(8_000)).unwrap();
     assert!(took < ms(6_000), "{took:?}");
     assert!(simulation.servers.values().all(|server| server.revision == 3));
 }
