--- a/src/decision/relay/engine_choice.rs
+++ b/src/decision/relay/engine_choice.rs
@@ -11,7 +11,7 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-/// Prompt tokens that an engine prefills in a millisecond beside its decode steps: 4,096 in a step
+/// Prompt tokens that an engine prefills in a millisecond between decode steps: 4,096 in a step
 /// of 50 ms, by the data sheets of the supported engines.
 const PREFILL_TOKENS_PER_MS: f64 = 80.0;
 
@@ -268,7 +268,7 @@
         }
     }
 
-    /// Returns the penalties of a server beside the time to the first token.
+    /// Returns the penalties of a server in addition to the time to the first token.
     fn penalty_ms(
         &self,
         server: &Server,
--- a/src/decision/relay/fleet.rs
+++ b/src/decision/relay/fleet.rs
@@ -14,7 +14,7 @@
 const MAX_REVISIONS: usize = 16;
 
 /// Time for which outdated servers are used if the age of the newer weights is unknown.
-const MAX_UNKNOWN_AGE_PERIOD: Duration = Duration::from_millis(3_000);
+const MAX_OUTDATED_PERIOD_AT_UNKNOWN_AGE: Duration = Duration::from_millis(3_000);
 
 /// Weights of a model that its servers should load.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
@@ -132,7 +132,8 @@
         revision: WeightsRevision,
         now: Instant,
     ) -> bool {
-        let allowance = MAX_OUTDATED_WEIGHTS_PERIOD.saturating_sub(MAX_UNKNOWN_AGE_PERIOD);
+        let allowance =
+            MAX_OUTDATED_WEIGHTS_PERIOD.saturating_sub(MAX_OUTDATED_PERIOD_AT_UNKNOWN_AGE);
         let announced_at = now.checked_sub(allowance).unwrap_or(now);
         self.targets.entry(model).or_default().add(revision, announced_at)
     }
--- a/src/decision/relay/health.rs
+++ b/src/decision/relay/health.rs
@@ -9,8 +9,7 @@
 /// times the usual time to an answer.
 const MAX_SILENCE: Duration = Duration::from_millis(500);
 
-/// Like `MAX_SILENCE`, if other nodes had contact meanwhile: answers may be unable to reach this
-/// node alone.
+/// Like `MAX_SILENCE`, if other nodes still have contact: answers may fail to reach only this node.
 const MAX_LOCAL_SILENCE: Duration = Duration::from_millis(1_500);
 
 /// Length of the first suspension of an unreachable server.
--- a/src/decision/relay/prefix_index.rs
+++ b/src/decision/relay/prefix_index.rs
@@ -90,8 +90,8 @@
         until.is_some_and(|until| now < until)
     }
 
-    /// Records that `server` prefills the prefixes `keys`; `is_announced` says whether partners are
-    /// told of the deepest one.
+    /// Records that `server` prefills the prefixes `keys`; `is_announced` says whether the
+    /// deepest one is reported to partners.
     pub fn add_cached(
         &mut self,
         keys: &[PrefixKey],
--- a/src/decision/relay/rollout.rs
+++ b/src/decision/relay/rollout.rs
@@ -267,9 +267,7 @@
             Some(Step::Reporting { timeout_at, failures }) if now >= timeout_at => {
                 commands.extend(self.fail_report(id, failures, now));
             }
-            Some(Step::Ordering { timeout_at: expired_at, accepted_orders })
-                if now >= expired_at =>
-            {
+            Some(Step::Ordering { timeout_at: lost_at, accepted_orders }) if now >= lost_at => {
                 self.await_report(id, now, accepted_orders, now);
             }
             Some(Step::Loading { report_at, change }) if now >= report_at => {
@@ -287,7 +285,7 @@
                     self.orders.get(id).map_or(self.revision, |conditions| conditions.revision);
                 commands.push(RolloutCommand::Finish { server: id.clone(), revision });
             }
-            Some(Step::Confirming { timeout_at: expired_at, .. }) if now >= expired_at => {
+            Some(Step::Confirming { timeout_at: lost_at, .. }) if now >= lost_at => {
                 self.steps.insert(id.clone(), Step::Reporting { timeout_at, failures: 0 });
                 commands.push(RolloutCommand::Report(id.clone()));
             }
--- a/tests/relay/choose.rs
+++ b/tests/relay/choose.rs
@@ -14,11 +14,14 @@
 fn nodes_agree_on_the_home_server_of_a_subject() {
     let now = Instant::now();
     for subject in 0..50 {
-        let homes: Vec<_> = ZONES
+        let home_servers: Vec<_> = ZONES
             .iter()
             .map(|_| choose(&fleet(12, 1), &long_prompt(subject, 1), now).server)
             .collect();
-        assert!(homes.iter().all(|home| *home == homes[0]), "subject {subject}: {homes:?}");
+        assert!(
+            home_servers.iter().all(|preferred| *preferred == home_servers[0]),
+            "subject {subject}: {home_servers:?}"
+        );
     }
 }
 
@@ -54,14 +57,14 @@
     let now = Instant::now();
     let mut fleet = fleet(12, 1);
     let prompt = long_prompt(7, 1);
-    let home = choose(&fleet, &prompt, now);
-    let keys = &home.prompt.as_ref().unwrap().keys;
-    fleet.prefixes.add_cached(keys, &home.server, true, now);
-    load(&mut fleet, &home.server, 20_000, now);
+    let preferred = choose(&fleet, &prompt, now);
+    let keys = &preferred.prompt.as_ref().unwrap().keys;
+    fleet.prefixes.add_cached(keys, &preferred.server, true, now);
+    load(&mut fleet, &preferred.server, 20_000, now);
     let spill = choose(&fleet, &prompt, now);
-    assert_ne!(spill.server, home.server);
+    assert_ne!(spill.server, preferred.server);
     let spill = spill.prompt.unwrap();
-    assert_eq!(spill.fetch_from, Some(home.address));
+    assert_eq!(spill.fetch_from, Some(preferred.address));
 }
 
 #[test]
@@ -69,10 +72,15 @@
     let now = Instant::now();
     let mut fleet = fleet(12, 1);
     let prompt = long_prompt(7, 1);
-    let home = choose(&fleet, &prompt, now);
-    fleet.prefixes.add_cached(&home.prompt.as_ref().unwrap().keys, &home.server, true, now);
-    load(&mut fleet, &home.server, 2_000, now);
-    assert_eq!(choose(&fleet, &prompt, now).server, home.server);
+    let preferred = choose(&fleet, &prompt, now);
+    fleet.prefixes.add_cached(
+        &preferred.prompt.as_ref().unwrap().keys,
+        &preferred.server,
+        true,
+        now,
+    );
+    load(&mut fleet, &preferred.server, 2_000, now);
+    assert_eq!(choose(&fleet, &prompt, now).server, preferred.server);
 }
 
 #[test]
@@ -238,11 +246,11 @@
     let now = Instant::now();
     let mut fleet = fleet(2, 1);
     let prompt = long_prompt(7, 1);
-    let home = choose(&fleet, &prompt, now).server;
-    fleet.server_mut(&home).unwrap().close_until(now + ms(1_200), false);
-    fleet.server_mut(&home).unwrap().reopen_unresponsive(now);
-    assert_ne!(choose(&fleet, &prompt, now + ms(200)).server, home);
-    assert_eq!(choose(&fleet, &prompt, now + ms(400)).server, home);
+    let preferred = choose(&fleet, &prompt, now).server;
+    fleet.server_mut(&preferred).unwrap().close_until(now + ms(1_200), false);
+    fleet.server_mut(&preferred).unwrap().reopen_unresponsive(now);
+    assert_ne!(choose(&fleet, &prompt, now + ms(200)).server, preferred);
+    assert_eq!(choose(&fleet, &prompt, now + ms(400)).server, preferred);
 }
 
 /// One server opens empty while all others have long queues, and six nodes that send loads every
@@ -311,9 +319,9 @@
     let now = Instant::now();
     let mut fleet = fleet(12, 1);
     let prompt = long_prompt(3, 3);
-    let home = choose(&fleet, &prompt, now).server;
-    add_requests(&mut fleet, &home, 54, now);
-    assert_ne!(choose(&fleet, &prompt, now).server, home);
+    let preferred = choose(&fleet, &prompt, now).server;
+    add_requests(&mut fleet, &preferred, 54, now);
+    assert_ne!(choose(&fleet, &prompt, now).server, preferred);
 }
 
 /// Servers with a dozen slots: a decode pool would take half of them.
@@ -338,8 +346,8 @@
     let mut fleet = fleet(60, 1);
     let prompt = long_prompt(5, 5);
     for _ in 0..6 {
-        let home = choose(&fleet, &prompt, now).server;
-        add_requests(&mut fleet, &home, 70, now);
+        let preferred = choose(&fleet, &prompt, now).server;
+        add_requests(&mut fleet, &preferred, 70, now);
     }
     let choice = choose(&fleet, &prompt, now);
     assert!(choice.cost_ms < 400.0, "{choice:?}");
@@ -351,13 +359,13 @@
     let now = Instant::now();
     let mut fleet = fleet(12, 1);
     let prompt = long_prompt(7, 7);
-    let home = choose(&fleet, &prompt, now).server;
+    let preferred = choose(&fleet, &prompt, now).server;
     let load = ServerLoad { requests: 1, ..ServerLoad::default() };
     let (heard_ms, awaited_ms) = (Some(900), Some(700));
-    let update = ServerUpdate { server: home.clone(), load, heard_ms, awaited_ms };
+    let update = ServerUpdate { server: preferred.clone(), load, heard_ms, awaited_ms };
     fleet.apply_updates(&"partner".into(), &[update], now);
-    assert!(fleet.server(&home).unwrap().suspended_until(now).is_some());
-    assert_ne!(choose(&fleet, &prompt, now).server, home);
+    assert!(fleet.server(&preferred).unwrap().suspended_until(now).is_some());
+    assert_ne!(choose(&fleet, &prompt, now).server, preferred);
 }
 
 /// Engines evict a prefix within two or three seconds, the store keeps it longer.
--- a/tests/relay/lease.rs
+++ b/tests/relay/lease.rs
@@ -52,7 +52,8 @@
                 }
                 Step::Wait(wait_ms) => now += Duration::from_millis(wait_ms),
             }
-            let holders: Vec<_> = nodes.iter().filter_map(|node| node.fencing_number(now)).collect();
+            let holders: Vec<_> =
+                nodes.iter().filter_map(|node| node.fencing_number(now)).collect();
             prop_assert!(holders.len() <= 1, "{holders:?}");
         }
         prop_assert!(numbers.is_sorted());
