--- a/src/decision/relay/rollout.rs
+++ b/src/decision/relay/rollout.rs
@@ -277,8 +277,8 @@
             Some(Step::Loading { report_at, change })
                 if !change.is_open && change.loaded_at.is_some_and(|at| now >= at) =>
             {
-                // Reports lag, so the server is reopened when it should have loaded the weights, and
-                // confirmed later.
+                // Reports lag, so the server is reopened when it should have loaded the weights,
+                // and confirmed later.
                 let change = WeightsChange { is_open: true, ..change };
                 self.steps.insert(id.clone(), Step::Loading { report_at, change });
                 let revision =
