--- a/src/decision/relay/health.rs
+++ b/src/decision/relay/health.rs
@@ -9,8 +9,7 @@
 /// times the usual time to an answer.
 const MAX_SILENCE: Duration = Duration::from_millis(500);
 
-/// Like `MAX_SILENCE`, if other nodes had contact meanwhile: answers may be unable to reach this
-/// node alone.
+/// Like `MAX_SILENCE`, if other nodes still have contact: answers may fail to reach only this node.
 const MAX_LOCAL_SILENCE: Duration = Duration::from_millis(1_500);
 
 /// Length of the first suspension of an unreachable server.
@@ -75,11 +74,15 @@
 #[derive(Clone, Debug, Default)]
 pub struct Health {
     suspended_until: Option<Instant>,
+    /// Suspensions since the last success.
     suspensions: u32,
+    /// Moving average of failures, from 0 to 1.
     failure_rate: f64,
+    /// Moving average of the time beyond the expectation.
     slowness_ms: f64,
     updated_at: Option<Instant>,
     last_contact_at: Option<Instant>,
+    /// Unanswered attempts with the times at which they were sent.
     unanswered: BTreeMap<u64, Instant>,
     /// When the server was last found silent, `None` after a later contact.
     silent_at: Option<Instant>,
