--- a/src/daemon/mod.rs
+++ b/src/daemon/mod.rs
@@ -5,4 +5,4 @@
 pub mod threads;
 
 pub use node::Node;
-pub use run::{checked, run};
+pub use run::{run, settings_or_exit_code};
--- a/src/daemon/run.rs
+++ b/src/daemon/run.rs
@@ -25,7 +25,7 @@
 /// Runs the daemon until it is told to stop.
 pub fn run() -> ExitCode {
     let options = options().run();
-    let settings = match checked(Settings::load(&options.settings), options.check) {
+    let settings = match settings_or_exit_code(Settings::load(&options.settings), options.check) {
         Ok(settings) => settings,
         Err(code) => return code,
     };
@@ -41,7 +41,7 @@
 
 /// Returns the settings that a program goes on with, or the code with which it ends: that of faulty
 /// settings, or of a mere check.
-pub fn checked<T>(loaded: anyhow::Result<T>, is_check: bool) -> Result<T, ExitCode> {
+pub fn settings_or_exit_code<T>(loaded: anyhow::Result<T>, is_check: bool) -> Result<T, ExitCode> {
     match loaded {
         Err(error) => {
             eprintln!("{error:#}");
