--- a/src/daemon/node.rs
+++ b/src/daemon/node.rs
@@ -10,7 +10,7 @@
 use crate::metrics::Metrics;
 use crate::ports::{KvStore, ModelEngine};
 use crate::settings::Settings;
-use crate::traffic::context::{SharedParts, TrafficParts};
+use crate::traffic::context::{SharedState, TrafficDependencies};
 use crate::traffic::{TrafficContext, dispatch};
 use crate::types::{InstanceId, Revision};
 use arc_swap::ArcSwap;
@@ -80,7 +80,7 @@
         let (control_tasks, task_queue) = async_channel::unbounded();
         let engines = engines(&settings);
         let executor = Arc::new(Executor::new());
-        let shared = SharedParts {
+        let shared = SharedState {
             instance: instance.clone(),
             settings: Arc::clone(&settings),
             snapshot,
@@ -88,7 +88,7 @@
             shed_signals: Arc::default(),
             metrics: Metrics::default(),
         };
-        let traffic = Arc::new(TrafficContext::new(TrafficParts {
+        let traffic = Arc::new(TrafficContext::new(TrafficDependencies {
             shared: shared.clone(),
             engines: Arc::clone(&engines),
             services: Arc::new(HttpPlainService::new(settings.limits.answer_bytes)),
@@ -96,7 +96,7 @@
             executor: Arc::downgrade(&executor),
         }));
         let mut threads = vec![start_control(
-            ControlParts {
+            ControlDependencies {
                 shared,
                 engines,
                 events,
@@ -202,8 +202,8 @@
 }
 
 /// What the control thread starts from.
-struct ControlParts {
-    shared: SharedParts,
+struct ControlDependencies {
+    shared: SharedState,
     engines: Arc<dyn ModelEngine>,
     events: Sender<ControlEvent>,
     control_events: Receiver<ControlEvent>,
@@ -213,11 +213,11 @@
 }
 
 fn start_control(
-    parts: ControlParts,
+    parts: ControlDependencies,
     stopped: Receiver<Infallible>,
 ) -> anyhow::Result<JoinHandle<()>> {
     let start = move |executor| {
-        let SharedParts { instance, settings, snapshot, power, shed_signals, metrics } =
+        let SharedState { instance, settings, snapshot, power, shed_signals, metrics } =
             parts.shared;
         let timeout = Duration::from_millis(settings.control.exchange_timeout_ms);
         let platform = settings.platform;
--- a/src/traffic/admission_gate.rs
+++ b/src/traffic/admission_gate.rs
@@ -47,12 +47,12 @@
 }
 
 /// Place of an admitted request; given back when dropped.
-pub struct Admitted {
+pub struct AdmissionPermit {
     gate: Arc<AdmissionGate>,
     id: AdmissionId,
 }
 
-impl Drop for Admitted {
+impl Drop for AdmissionPermit {
     fn drop(&mut self) {
         self.gate.finish(self.id);
     }
@@ -77,7 +77,7 @@
         self: &Arc<Self>,
         request: GateRequest,
         snapshot: &Snapshot,
-    ) -> Result<Admitted, Refusal> {
+    ) -> Result<AdmissionPermit, Refusal> {
         let (admitted, wait) = self.offer(request, snapshot)?;
         let Some(wait) = wait else { return Ok(admitted) };
         let decided = async { wait.decided.recv().await.unwrap_or(None) };
@@ -107,7 +107,7 @@
         self: &Arc<Self>,
         request: GateRequest,
         snapshot: &Snapshot,
-    ) -> Result<(Admitted, Option<Wait>), Refusal> {
+    ) -> Result<(AdmissionPermit, Option<Wait>), Refusal> {
         let now = Instant::now();
         let mut state = self.lock();
         state.update_limits(snapshot, now);
@@ -130,7 +130,7 @@
                 Some(Wait { expires_at, decided })
             }
         };
-        Ok((Admitted { gate: Arc::clone(self), id }, wait))
+        Ok((AdmissionPermit { gate: Arc::clone(self), id }, wait))
     }
 
     fn expire(&self) {
@@ -185,7 +185,7 @@
 }
 
 /// Returns whether a refusal is by the workspace's own limits.
-pub fn is_own_limit(reason: RefusalReason) -> bool {
+pub fn is_workspace_limit(reason: RefusalReason) -> bool {
     match reason {
         RefusalReason::UnknownWorkspace | RefusalReason::RequestRate | RefusalReason::TokenRate => {
             true
--- a/src/traffic/attempt.rs
+++ b/src/traffic/attempt.rs
@@ -1,6 +1,6 @@
 //! One attempt of a model request on a server.
 
-use super::power_hold::PowerHold;
+use super::power_commitment::PowerCommitment;
 use crate::control::TrafficReport;
 use crate::decision::routing::{AnswerTiming, PrefixLevel, RouteDecision, RoutingView};
 use crate::ports::{EngineAnswer, EngineFrame, FrameStream};
@@ -17,7 +17,7 @@
     first_token_at: Option<Instant>,
     answer: Option<RunningAnswer>,
     seen_incarnation: Option<Incarnation>,
-    power: PowerHold,
+    power: PowerCommitment,
 }
 
 struct RunningAnswer {
@@ -37,7 +37,7 @@
         decision: RouteDecision,
         view: RoutingView,
         levels: &[PrefixLevel],
-        power: PowerHold,
+        power: PowerCommitment,
     ) -> Self {
         let prompt_tokens = levels.last().map_or(0, |level| level.tokens);
         let pending_prefill_tokens = prompt_tokens.saturating_sub(decision.expected_hit_tokens);
--- a/src/traffic/context.rs
+++ b/src/traffic/context.rs
@@ -2,7 +2,7 @@
 
 use super::admission_gate::AdmissionGate;
 use super::shed_signals::ShedSignals;
-use super::suspects::SuspectGate;
+use super::suspect_gate::SuspectGate;
 use crate::admin::RecentDecisions;
 use crate::control::{ClaimsMessage, ControlEvent, Snapshot, TrafficReport};
 use crate::decision::power::PowerAccount;
@@ -22,7 +22,7 @@
 
 /// What the control thread and the traffic threads share.
 #[derive(Clone)]
-pub struct SharedParts {
+pub struct SharedState {
     /// Id of this run of the node.
     pub instance: InstanceId,
     /// Settings.
@@ -38,9 +38,9 @@
 }
 
 /// What the context of the traffic threads is made from.
-pub struct TrafficParts {
+pub struct TrafficDependencies {
     /// Parts shared with the control thread.
-    pub shared: SharedParts,
+    pub shared: SharedState,
     /// Model engines.
     pub engines: Arc<dyn ModelEngine>,
     /// Plain services.
@@ -87,8 +87,8 @@
 
 impl TrafficContext {
     /// Returns the context of a node that has just started.
-    pub fn new(parts: TrafficParts) -> Self {
-        let TrafficParts { shared, engines, services, control, executor } = parts;
+    pub fn new(parts: TrafficDependencies) -> Self {
+        let TrafficDependencies { shared, engines, services, control, executor } = parts;
         Self {
             instance: shared.instance,
             settings: shared.settings,
--- a/src/traffic/generation.rs
+++ b/src/traffic/generation.rs
@@ -2,9 +2,9 @@
 
 use super::attempt::Attempt;
 use super::generation_request::GenerationRequest;
-use super::power_hold::{HeldAttempt, PowerHold};
+use super::power_commitment::{PowerCommitment, PoweredAttempt};
 use super::shed_signals::ShedSignal;
-use super::suspects::{SuspectSlot, route_apart};
+use super::suspect_gate::{SuspectPermit, route_suspect};
 use super::{Failure, FailureCode, TrafficContext};
 use crate::adapters::deadline::within;
 use crate::control::{Snapshot, TrafficReport};
@@ -40,7 +40,7 @@
 
 /// Next part of an answer.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Part {
+pub enum AnswerItem {
     /// Chunk in the published form.
     Chunk(Value),
     /// End of the complete answer.
@@ -53,7 +53,7 @@
     request: GenerationRequest,
     attempt: Option<Attempt>,
     shed: Option<ShedSignal>,
-    suspect_slot: Option<SuspectSlot>,
+    suspect_permit: Option<SuspectPermit>,
     attempts: u32,
     excluded: Vec<ServerId>,
     order: FrameOrder,
@@ -81,14 +81,14 @@
             request,
             attempt: None,
             shed: None,
-            suspect_slot: None,
+            suspect_permit: None,
             attempts: 0,
             excluded: Vec::new(),
             order: FrameOrder::default(),
             any_delivery_unknown: false,
         };
         if is_suspect {
-            generation.run_apart().await;
+            generation.acquire_suspect_permit().await;
         }
         generation
     }
@@ -104,7 +104,7 @@
     }
 
     /// Returns the next part; after an error the answer cannot go on.
-    pub async fn next_part(&mut self) -> Result<Part, Failure> {
+    pub async fn next_item(&mut self) -> Result<AnswerItem, Failure> {
         loop {
             if self.attempt.is_none() {
                 match self.start_attempt().await {
@@ -193,8 +193,8 @@
 
     fn route(&self, snapshot: &Snapshot, query: &RouteQuery) -> Result<RouteDecision, Failure> {
         let now = Instant::now();
-        let decision = if self.suspect_slot.is_some() {
-            route_apart(snapshot, query, now)
+        let decision = if self.suspect_permit.is_some() {
+            route_suspect(snapshot, query, now)
         } else {
             snapshot.routing.route(query, now)
         };
@@ -218,8 +218,8 @@
     }
 
     /// Commits the watts of an attempt, waiting for them as long as the priority allows.
-    async fn commit_power(&mut self, decision: &RouteDecision) -> Result<PowerHold, Failure> {
-        let attempt = HeldAttempt {
+    async fn commit_power(&mut self, decision: &RouteDecision) -> Result<PowerCommitment, Failure> {
+        let attempt = PoweredAttempt {
             key: format_smolstr!("{}#{}", self.request.id, self.attempts),
             request: self.request.id.clone(),
             server: decision.server.clone(),
@@ -230,7 +230,8 @@
         self.shed = Some(self.context.shed_signals.register(attempt.key.clone()));
         let longest_wait = self.context.admission.config().max_wait(self.request.priority);
         let give_up_at = self.request.deadline.min(Instant::now() + longest_wait);
-        let committed = PowerHold::commit(Arc::clone(&self.context), attempt, give_up_at).await;
+        let committed =
+            PowerCommitment::commit(Arc::clone(&self.context), attempt, give_up_at).await;
         committed.map_err(|refusal| self.failure(FailureCode::Overloaded, refusal.to_string()))
     }
 
@@ -250,7 +251,7 @@
     }
 
     /// Takes a frame in order; skips one that has been relayed and refuses one that is too early.
-    fn accept(&mut self, frame: EngineFrame) -> Result<Option<Part>, PeerError> {
+    fn accept(&mut self, frame: EngineFrame) -> Result<Option<AnswerItem>, PeerError> {
         let position = match &frame {
             EngineFrame::Piece { number, .. } => FramePosition::Piece(*number),
             EngineFrame::End { number, .. } => FramePosition::End(*number),
@@ -267,11 +268,11 @@
             attempt.note_frame();
         }
         match frame {
-            EngineFrame::Piece { chunk, .. } => Ok(Some(Part::Chunk(chunk))),
+            EngineFrame::Piece { chunk, .. } => Ok(Some(AnswerItem::Chunk(chunk))),
             EngineFrame::End { prompt_tokens, cached_tokens, completion_tokens, .. } => {
                 let usage = Usage { prompt_tokens, cached_tokens, completion_tokens };
                 self.complete_attempt(usage);
-                Ok(Some(Part::End(usage)))
+                Ok(Some(AnswerItem::End(usage)))
             }
         }
     }
@@ -301,7 +302,7 @@
             cached_tokens: usage.cached_tokens,
             timing,
         }));
-        if self.suspect_slot.is_some() {
+        if self.suspect_permit.is_some() {
             self.context.report(TrafficReport::Exonerated(self.request.fingerprint));
         }
     }
@@ -346,7 +347,7 @@
             RetryDecision::Retry => {
                 self.context.metrics.retries.inc();
                 if suspicion == Suspicion::Suspect {
-                    self.run_apart().await;
+                    self.acquire_suspect_permit().await;
                 }
                 Ok(())
             }
@@ -363,12 +364,12 @@
     }
 
     /// Lets the request go on only while no other suspect of this node runs.
-    async fn run_apart(&mut self) {
-        if self.suspect_slot.is_some() {
+    async fn acquire_suspect_permit(&mut self) {
+        if self.suspect_permit.is_some() {
             return;
         }
         let entered = within(self.request.deadline, self.context.suspects.enter()).await;
-        self.suspect_slot = entered.ok();
+        self.suspect_permit = entered.ok();
     }
 
     fn given_up(&self, reason: GiveUpReason) -> Failure {
--- a/src/traffic/handlers/text_generation.rs
+++ b/src/traffic/handlers/text_generation.rs
@@ -3,9 +3,9 @@
 use crate::adapters::http_server::Reply;
 use crate::control::Snapshot;
 use crate::decision::poison::Suspicion;
-use crate::traffic::admission_gate::{Admitted, GateRequest, is_own_limit};
+use crate::traffic::admission_gate::{AdmissionPermit, GateRequest, is_workspace_limit};
 use crate::traffic::authenticate::authenticate;
-use crate::traffic::generation::{Generation, Part, Usage};
+use crate::traffic::generation::{AnswerItem, Generation, Usage};
 use crate::traffic::generation_request::{Endpoint, GenerationRequest, RawGenerationRequest};
 use crate::traffic::reply::{event_stream_reply, failure_body, json_reply};
 use crate::traffic::{Failure, FailureCode, TrafficContext, body};
@@ -46,7 +46,7 @@
     let admitted = admit(&context, &request, &snapshot).await?;
     let generation = Generation::new(context, request, is_suspect).await;
     let mut running = RunningRequest { generation, _admitted: admitted };
-    let first = running.generation.next_part().await?;
+    let first = running.generation.next_item().await?;
     if running.generation.request().stream {
         return Ok(stream_reply(running, first));
     }
@@ -56,7 +56,7 @@
 /// Generation with its place in admission, which is given back when the answer ends.
 struct RunningRequest {
     generation: Generation,
-    _admitted: Admitted,
+    _admitted: AdmissionPermit,
 }
 
 /// Refuses a request that crashed servers; returns whether it may crash one.
@@ -75,7 +75,7 @@
     context: &TrafficContext,
     request: &GenerationRequest,
     snapshot: &Snapshot,
-) -> Result<Admitted, Failure> {
+) -> Result<AdmissionPermit, Failure> {
     let gate_request = GateRequest {
         workspace: request.workspace.clone(),
         priority: request.priority,
@@ -84,7 +84,7 @@
     };
     let admitted = context.admission.admit(gate_request, snapshot).await;
     admitted.map_err(|refusal| {
-        let code = if is_own_limit(refusal.reason) {
+        let code = if is_workspace_limit(refusal.reason) {
             FailureCode::RateLimited
         } else {
             FailureCode::Overloaded
@@ -97,14 +97,14 @@
 /// State of a stream to a caller.
 enum StreamState {
     /// The part is to be sent next.
-    Ready(Box<RunningRequest>, Part),
+    Ready(Box<RunningRequest>, AnswerItem),
     /// The next part is to be awaited.
     Waiting(Box<RunningRequest>),
     /// The stream is over.
     Ended,
 }
 
-fn stream_reply(running: RunningRequest, first: Part) -> Reply {
+fn stream_reply(running: RunningRequest, first: AnswerItem) -> Reply {
     let state = StreamState::Ready(Box::new(running), first);
     event_stream_reply(stream::unfold(state, next_event))
 }
@@ -113,14 +113,14 @@
     let (running, part) = match state {
         StreamState::Ready(running, part) => (running, Ok(part)),
         StreamState::Waiting(mut running) => {
-            let part = running.generation.next_part().await;
+            let part = running.generation.next_item().await;
             (running, part)
         }
         StreamState::Ended => return None,
     };
     match part {
-        Ok(Part::Chunk(chunk)) => Some((encode_event(&chunk), StreamState::Waiting(running))),
-        Ok(Part::End(usage)) => {
+        Ok(AnswerItem::Chunk(chunk)) => Some((encode_event(&chunk), StreamState::Waiting(running))),
+        Ok(AnswerItem::End(usage)) => {
             Some((end_events(running.generation.request(), usage), StreamState::Ended))
         }
         Err(failure) => {
@@ -154,7 +154,7 @@
 
 async fn whole_reply(
     running: RunningRequest,
-    first: Part,
+    first: AnswerItem,
     limit_bytes: usize,
 ) -> Result<Reply, Failure> {
     let RunningRequest { mut generation, _admitted } = running;
@@ -163,8 +163,8 @@
     let mut part = first;
     let usage = loop {
         match part {
-            Part::End(usage) => break usage,
-            Part::Chunk(chunk) => {
+            AnswerItem::End(usage) => break usage,
+            AnswerItem::Chunk(chunk) => {
                 let choice = &chunk["choices"][0];
                 text.push_str(choice_text(generation.request().endpoint, choice));
                 if !choice["finish_reason"].is_null() {
@@ -176,7 +176,7 @@
             let message = format!("the answer exceeds {limit_bytes} bytes");
             return Err(Failure::unknown(FailureCode::AnswerTooLarge, message));
         }
-        part = generation.next_part().await?;
+        part = generation.next_item().await?;
     };
     let body = whole_body(generation.request(), &text, &finish_reason, usage);
     Ok(json_reply(StatusCode::OK, &body))
--- a/src/traffic/mod.rs
+++ b/src/traffic/mod.rs
@@ -12,12 +12,12 @@
 pub mod generation;
 pub mod generation_request;
 pub mod handlers;
-pub mod measure;
-pub mod power_hold;
+pub mod power_commitment;
 pub mod reply;
+pub mod request_metrics;
 pub mod run_state;
 pub mod shed_signals;
-pub mod suspects;
+pub mod suspect_gate;
 
 pub use context::TrafficContext;
 pub use dispatch::dispatch;
--- a/src/traffic/power_hold.rs
+++ b/src/traffic/power_commitment.rs
@@ -17,10 +17,10 @@
 
 /// Watts committed to one attempt.
 ///
-/// When it is dropped before [`PowerHold::release`], the server may still run the request: the
+/// When it is dropped before [`PowerCommitment::release`], the server may still run the request: the
 /// watts are then held until the server has confirmed a cancel, or until the work deadline that
 /// the server itself enforces has passed for a request that was under way.
-pub struct PowerHold {
+pub struct PowerCommitment {
     context: Arc<TrafficContext>,
     key: RequestId,
     request: RequestId,
@@ -42,7 +42,7 @@
 
 /// What a hold is for.
 #[derive(Clone, Debug)]
-pub struct HeldAttempt {
+pub struct PoweredAttempt {
     /// Key of the attempt in the power account.
     pub key: RequestId,
     /// Request, by which the server knows the work.
@@ -57,11 +57,11 @@
     pub work_deadline: Instant,
 }
 
-impl PowerHold {
+impl PowerCommitment {
     /// Commits the watts of `attempt`, waiting for them until `give_up_at`.
     pub async fn commit(
         context: Arc<TrafficContext>,
-        attempt: HeldAttempt,
+        attempt: PoweredAttempt,
         give_up_at: Instant,
     ) -> Result<Self, PowerRefusal> {
         let start = PowerRequest {
@@ -80,7 +80,7 @@
                 PowerAnswer::Lacking => Timer::after(RETRY_PERIOD).await,
             };
         }
-        let HeldAttempt { key, request, server, address, work_deadline, .. } = attempt;
+        let PoweredAttempt { key, request, server, address, work_deadline, .. } = attempt;
         Ok(Self { context, key, request, server, address, work_deadline, released: false })
     }
 
@@ -92,7 +92,7 @@
     }
 }
 
-impl Drop for PowerHold {
+impl Drop for PowerCommitment {
     fn drop(&mut self) {
         if self.released {
             return;
--- a/src/traffic/suspects.rs
+++ b/src/traffic/suspect_gate.rs
@@ -14,7 +14,7 @@
 }
 
 /// The one place of a running suspect; given back when dropped.
-pub type SuspectSlot = SemaphoreGuardArc;
+pub type SuspectPermit = SemaphoreGuardArc;
 
 impl Default for SuspectGate {
     fn default() -> Self {
@@ -24,14 +24,18 @@
 
 impl SuspectGate {
     /// Waits until no other suspect of this node runs.
-    pub async fn enter(&self) -> SuspectSlot {
+    pub async fn enter(&self) -> SuspectPermit {
         self.slot.acquire_arc().await
     }
 }
 
 /// Chooses a server for a suspect: nodes of different rank begin at different parts of the list of
 /// servers, so that a crash points at one suspect.
-pub fn route_apart(snapshot: &Snapshot, query: &RouteQuery, now: Instant) -> Option<RouteDecision> {
+pub fn route_suspect(
+    snapshot: &Snapshot,
+    query: &RouteQuery,
+    now: Instant,
+) -> Option<RouteDecision> {
     let document = snapshot.document.as_ref()?;
     let all = document.servers.keys();
     let servers: Vec<&ServerId> = all.filter(|server| !query.excluded.contains(server)).collect();
