--- a/src/daemon/node.rs
+++ b/src/daemon/node.rs
@@ -1,6 +1,6 @@
 //! A node: listeners, the control thread and the traffic threads.
 
-use super::threads::{self, spawn_control, spawn_traffic};
+use super::threads::{self, StopSignal, spawn_control, spawn_traffic};
 use crate::adapters::http_server::{self, Handler, ServerLimits};
 use crate::adapters::{
     HttpInstanceList, HttpKvStore, HttpLogService, HttpModelEngine, HttpPlainService,
@@ -27,14 +27,14 @@
 use std::thread::{self, JoinHandle};
 use std::time::{Duration, Instant};
 
-/// Events that may wait for the control thread.
-const CONTROL_QUEUE: usize = 4_096;
+/// Maximum number of events queued for the control thread.
+const CONTROL_QUEUE_CAPACITY: usize = 4_096;
 
-/// Period between two looks at the requests that a draining node still runs.
-const DRAIN_CHECK_PERIOD: Duration = Duration::from_millis(5);
+/// Period at which a draining node polls whether its requests have ended.
+const DRAIN_POLL_PERIOD: Duration = Duration::from_millis(5);
 
-/// Time in which a node that stops tells its partners and gives up its leases and power.
-const LEAVE_PERIOD: Duration = Duration::from_millis(250);
+/// Time given to a stopping node to notify its partners and release its leases and power.
+const STOP_GRACE_PERIOD: Duration = Duration::from_millis(250);
 
 /// Running node.
 pub struct Node {
@@ -43,17 +43,17 @@
     admin_address: SocketAddr,
     partner_address: SocketAddr,
     traffic: Arc<TrafficContext>,
-    drain: Sender<Infallible>,
-    stop: Sender<Infallible>,
+    drain_sender: Sender<Infallible>,
+    stop_sender: Sender<Infallible>,
     threads: Vec<JoinHandle<()>>,
-    control_tasks: Sender<ControlTask>,
+    task_sender: Sender<ControlTask>,
     executor: Arc<Executor<'static>>,
 }
 
 /// Function that runs on the control thread.
 type ControlTask = Box<dyn FnOnce() + Send>;
 
-/// Listeners of a node, bound before it serves.
+/// Listeners of a node, bound before its threads start.
 struct Listeners {
     callers: TcpListener,
     admin: TcpListener,
@@ -74,11 +74,11 @@
         let partner_address = listeners.partners.local_addr()?;
         let settings = Arc::new(settings);
         let snapshot = Arc::new(ArcSwap::from_pointee(Snapshot::default()));
-        let (events, control_events) = async_channel::bounded(CONTROL_QUEUE);
-        let (stop, stopped) = async_channel::bounded(1);
-        let (drain, draining) = async_channel::bounded(1);
-        let (control_tasks, task_queue) = async_channel::unbounded();
-        let engines = engines(&settings);
+        let (event_sender, event_receiver) = async_channel::bounded(CONTROL_QUEUE_CAPACITY);
+        let (stop_sender, stop_signal) = async_channel::bounded(1);
+        let (drain_sender, drain_signal) = async_channel::bounded(1);
+        let (task_sender, task_receiver) = async_channel::unbounded();
+        let engines = engine_client(&settings);
         let executor = Arc::new(Executor::new());
         let shared = SharedState {
             instance: instance.clone(),
@@ -92,26 +92,26 @@
             shared: shared.clone(),
             engines: Arc::clone(&engines),
             services: Arc::new(HttpPlainService::new(settings.limits.answer_bytes)),
-            control: events.clone(),
+            control_events: event_sender.clone(),
             executor: Arc::downgrade(&executor),
         }));
         let mut threads = vec![start_control(
             ControlDependencies {
                 shared,
                 engines,
-                events,
-                control_events,
-                task_queue,
+                event_sender,
+                event_receiver,
+                task_receiver,
                 partners: listeners.partners,
                 partner_address,
             },
-            stopped.clone(),
+            stop_signal.clone(),
         )?];
-        serve_callers(&executor, listeners.callers, &traffic, draining.clone());
-        serve_admin(&executor, listeners.admin, &traffic, draining);
+        serve_callers(&executor, listeners.callers, &traffic, drain_signal.clone());
+        serve_admin(&executor, listeners.admin, &traffic, drain_signal);
         for number in 0..settings.traffic_threads {
             let name = format!("traffic-{number}");
-            threads.push(spawn_traffic(name, Arc::clone(&executor), stopped.clone())?);
+            threads.push(spawn_traffic(name, Arc::clone(&executor), stop_signal.clone())?);
         }
         log::info!(
             "event=started instance={instance} callers={caller_address} admin={admin_address} \
@@ -123,20 +123,20 @@
             admin_address,
             partner_address,
             traffic,
-            drain,
-            stop,
+            drain_sender,
+            stop_sender,
             threads,
-            control_tasks,
+            task_sender,
             executor,
         })
     }
 
-    /// Returns the id of this run of the node.
+    /// Returns the instance id of this process; each start of a node has a new one.
     pub fn instance(&self) -> &InstanceId {
         &self.instance
     }
 
-    /// Returns the address of the callers' listener.
+    /// Returns the address of the listener for callers.
     pub fn caller_address(&self) -> SocketAddr {
         self.caller_address
     }
@@ -146,7 +146,7 @@
         self.admin_address
     }
 
-    /// Returns the address of the partner listener.
+    /// Returns the address of the listener for partners.
     pub fn partner_address(&self) -> SocketAddr {
         self.partner_address
     }
@@ -156,44 +156,49 @@
         self.traffic.snapshot.load().document.as_ref().map_or(0, |document| document.offset)
     }
 
-    /// Stops gracefully: readiness goes first, then the listener, then the running requests end.
+    /// Stops gracefully: fails readiness probes, closes the listeners, waits for running requests,
+    /// and notifies partners before its threads stop.
     pub fn drain(self) {
         let limits = self.traffic.settings.limits;
         log::info!("event=drain_started instance={}", self.instance);
         self.traffic.draining.store(true, Ordering::Release);
         thread::sleep(Duration::from_millis(limits.drain_grace_ms));
-        self.drain.close();
+        self.drain_sender.close();
         let deadline = Instant::now() + Duration::from_millis(limits.drain_timeout_ms);
-        while self.drain.receiver_count() > 0 && Instant::now() < deadline {
-            thread::sleep(DRAIN_CHECK_PERIOD);
+        while self.drain_sender.receiver_count() > 0 && Instant::now() < deadline {
+            thread::sleep(DRAIN_POLL_PERIOD);
         }
-        log::info!("event=drained instance={} cut={}", self.instance, self.drain.receiver_count());
-        self.traffic.send_stopping();
-        thread::sleep(LEAVE_PERIOD);
+        log::info!(
+            "event=drained instance={} cut={}",
+            self.instance,
+            self.drain_sender.receiver_count()
+        );
+        self.traffic.announce_stop();
+        thread::sleep(STOP_GRACE_PERIOD);
         self.kill();
     }
 
-    /// Stops abruptly: all connections close at once.
+    /// Stops abruptly: closes all connections without waiting for requests.
     pub fn kill(self) {
-        self.stop.close();
+        self.stop_sender.close();
         let Self { threads, executor, .. } = self;
         threads::join(threads);
         drop(executor);
     }
 
-    /// Holds up all threads for `period`, as a paused process would be.
+    /// Blocks all threads for `period`, like a paused process.
     pub fn freeze(&self, period: Duration) {
         for _ in 0..self.traffic.settings.traffic_threads {
             self.executor.spawn(async move { thread::sleep(period) }).detach();
         }
-        let pause = Box::new(move || thread::sleep(period));
-        if self.control_tasks.try_send(pause).is_err() {
+        let block = Box::new(move || thread::sleep(period));
+        if self.task_sender.try_send(block).is_err() {
             log::error!("event=freeze_failed instance={}", self.instance);
         }
     }
 }
 
-fn engines(settings: &Settings) -> Arc<dyn ModelEngine> {
+fn engine_client(settings: &Settings) -> Arc<dyn ModelEngine> {
     Arc::new(HttpModelEngine::new(
         settings.availability_zone.clone(),
         Duration::from_millis(settings.control.exchange_timeout_ms),
@@ -201,24 +206,24 @@
     ))
 }
 
-/// What the control thread starts from.
+/// Dependencies of the control thread.
 struct ControlDependencies {
     shared: SharedState,
     engines: Arc<dyn ModelEngine>,
-    events: Sender<ControlEvent>,
-    control_events: Receiver<ControlEvent>,
-    task_queue: Receiver<ControlTask>,
+    event_sender: Sender<ControlEvent>,
+    event_receiver: Receiver<ControlEvent>,
+    task_receiver: Receiver<ControlTask>,
     partners: TcpListener,
     partner_address: SocketAddr,
 }
 
 fn start_control(
-    parts: ControlDependencies,
-    stopped: Receiver<Infallible>,
+    dependencies: ControlDependencies,
+    stop_signal: StopSignal,
 ) -> anyhow::Result<JoinHandle<()>> {
-    let start = move |executor| {
+    let create_main_task = move |executor| {
         let SharedState { instance, settings, snapshot, power, shed_signals, metrics } =
-            parts.shared;
+            dependencies.shared;
         let timeout = Duration::from_millis(settings.control.exchange_timeout_ms);
         let platform = settings.platform;
         let kv_store = platform
@@ -231,22 +236,22 @@
             shed_signals,
             log: Arc::new(HttpLogService::new(platform.log, timeout)),
             instance_list: Arc::new(HttpInstanceList::new(platform.instance_list, timeout)),
-            engines: parts.engines,
+            engines: dependencies.engines,
             kv_store,
             metrics,
-            events: parts.events,
+            events: dependencies.event_sender,
             live_nodes: Rc::new(Cell::new(1)),
             executor,
         };
-        context.spawn(run_tasks(parts.task_queue));
-        let state = ControlState::new(context, snapshot, parts.partner_address);
-        state.start(parts.partners);
-        control::run(state, parts.control_events)
+        context.spawn(run_control_tasks(dependencies.task_receiver));
+        let state = ControlState::new(context, snapshot, dependencies.partner_address);
+        state.start(dependencies.partners);
+        control::run(state, dependencies.event_receiver)
     };
-    Ok(spawn_control(String::from("control"), start, stopped)?)
+    Ok(spawn_control(String::from("control"), create_main_task, stop_signal)?)
 }
 
-async fn run_tasks(tasks: Receiver<ControlTask>) {
+async fn run_control_tasks(tasks: Receiver<ControlTask>) {
     while let Ok(task) = tasks.recv().await {
         task();
     }
@@ -256,13 +261,14 @@
     executor: &Arc<Executor<'static>>,
     listener: TcpListener,
     traffic: &Arc<TrafficContext>,
-    draining: Receiver<Infallible>,
+    drain_signal: StopSignal,
 ) {
     let context = Arc::clone(traffic);
     let handler: Handler =
         Arc::new(move |request| Box::pin(dispatch(Arc::clone(&context), request)));
     let limits = server_limits(&traffic.settings);
-    let server = http_server::serve(listener, Arc::downgrade(executor), handler, limits, draining);
+    let server =
+        http_server::serve(listener, Arc::downgrade(executor), handler, limits, drain_signal);
     executor.spawn(server).detach();
 }
 
@@ -270,7 +276,7 @@
     executor: &Arc<Executor<'static>>,
     listener: TcpListener,
     traffic: &Arc<TrafficContext>,
-    draining: Receiver<Infallible>,
+    drain_signal: StopSignal,
 ) {
     let settings = &traffic.settings;
     let timeout = Duration::from_millis(settings.control.exchange_timeout_ms);
@@ -281,7 +287,8 @@
     let handler: Handler =
         Arc::new(move |request| Box::pin(admin::server::dispatch(Arc::clone(&context), request)));
     let limits = server_limits(settings);
-    let server = http_server::serve(listener, Arc::downgrade(executor), handler, limits, draining);
+    let server =
+        http_server::serve(listener, Arc::downgrade(executor), handler, limits, drain_signal);
     executor.spawn(server).detach();
 }
 
--- a/src/traffic/admission_gate.rs
+++ b/src/traffic/admission_gate.rs
@@ -1,4 +1,4 @@
-//! Holds model requests until admission lets them start or refuses them.
+//! Asynchronous front end of admission: model requests wait here until they start or are refused.
 
 use crate::control::Snapshot;
 use crate::decision::admission::{
@@ -13,7 +13,7 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Instant;
 
-/// Gate in front of all model requests of a node.
+/// Admission of the model requests of a node.
 pub struct AdmissionGate {
     config: AdmissionConfig,
     state: Mutex<GateState>,
@@ -21,32 +21,33 @@
 
 struct GateState {
     admission: Admission,
-    limits: LimitsInForce,
-    waiting: HashMap<AdmissionId, Sender<Option<Refusal>>>,
+    limit_inputs: LimitInputs,
+    /// Channel to each waiter; receives the refusal, none if the request starts.
+    waiters: HashMap<AdmissionId, Sender<Option<Refusal>>>,
     next_id: AdmissionId,
 }
 
-/// What the limits in force were worked out from.
+/// Inputs from which the limits of admission were last computed.
 #[derive(Clone, Copy, Default, Eq, PartialEq)]
-struct LimitsInForce {
-    document: LogOffset,
+struct LimitInputs {
+    document_offset: LogOffset,
     live_nodes: u32,
 }
 
-/// Request that asks to pass the gate.
+/// Request submitted to the gate.
 #[derive(Clone, Debug)]
 pub struct GateRequest {
     /// Workspace.
     pub workspace: WorkspaceId,
     /// Priority.
     pub priority: Priority,
-    /// Prompt tokens and tokens to be generated.
+    /// Prompt tokens plus the maximum tokens to generate.
     pub tokens: u32,
-    /// When the request is given up.
+    /// When the request times out.
     pub deadline: Instant,
 }
 
-/// Place of an admitted request; given back when dropped.
+/// Permit of a request that waits or runs; dropping it leaves the queue or frees the slot.
 pub struct AdmissionPermit {
     gate: Arc<AdmissionGate>,
     id: AdmissionId,
@@ -63,8 +64,8 @@
         let config = AdmissionConfig::default();
         let state = GateState {
             admission: Admission::new(config),
-            limits: LimitsInForce::default(),
-            waiting: HashMap::new(),
+            limit_inputs: LimitInputs::default(),
+            waiters: HashMap::new(),
             next_id: 0,
         };
         Self { config, state: Mutex::new(state) }
@@ -78,36 +79,37 @@
         request: GateRequest,
         snapshot: &Snapshot,
     ) -> Result<AdmissionPermit, Refusal> {
-        let (admitted, wait) = self.offer(request, snapshot)?;
-        let Some(wait) = wait else { return Ok(admitted) };
-        let decided = async { wait.decided.recv().await.unwrap_or(None) };
+        let (permit, pending) = self.submit(request, snapshot)?;
+        let Some(pending) = pending else { return Ok(permit) };
+        let decision = async { pending.decision.recv().await.unwrap_or(None) };
         let expired = async {
-            Timer::at(wait.expires_at).await;
+            Timer::at(pending.expires_at).await;
             self.expire();
-            wait.decided.recv().await.unwrap_or(None)
+            pending.decision.recv().await.unwrap_or(None)
         };
-        match decided.or(expired).await {
-            None => Ok(admitted),
+        match decision.or(expired).await {
+            None => Ok(permit),
             Some(refusal) => Err(refusal),
         }
     }
 
-    /// Returns the settings of admission.
+    /// Returns the configuration of admission.
     pub fn config(&self) -> &AdmissionConfig {
         &self.config
     }
 
-    /// Returns the numbers of running and waiting requests.
-    pub fn occupancy(&self) -> (usize, usize) {
+    /// Returns the numbers of running and of waiting requests.
+    pub fn request_counts(&self) -> (usize, usize) {
         let state = self.lock();
         (state.admission.running(), state.admission.waiting())
     }
 
-    fn offer(
+    /// Submits `request` to admission; returns its permit and, while it waits, the pending decision.
+    fn submit(
         self: &Arc<Self>,
         request: GateRequest,
         snapshot: &Snapshot,
-    ) -> Result<(AdmissionPermit, Option<Wait>), Refusal> {
+    ) -> Result<(AdmissionPermit, Option<PendingDecision>), Refusal> {
         let now = Instant::now();
         let mut state = self.lock();
         state.update_limits(snapshot, now);
@@ -121,30 +123,30 @@
             deadline: request.deadline,
         };
         let decision = state.admission.submit(request, now);
-        let wait = match decision {
+        let pending = match decision {
             AdmissionDecision::Start => None,
             AdmissionDecision::Refuse(refusal) => return Err(refusal),
             AdmissionDecision::Wait { expires_at } => {
-                let (decide, decided) = async_channel::bounded(1);
-                state.waiting.insert(id, decide);
-                Some(Wait { expires_at, decided })
+                let (sender, decision) = async_channel::bounded(1);
+                state.waiters.insert(id, sender);
+                Some(PendingDecision { expires_at, decision })
             }
         };
-        Ok((AdmissionPermit { gate: Arc::clone(self), id }, wait))
+        Ok((AdmissionPermit { gate: Arc::clone(self), id }, pending))
     }
 
     fn expire(&self) {
         let mut state = self.lock();
         for refused in state.admission.expire(Instant::now()) {
-            state.decide(refused.id, Some(refused.refusal));
+            state.notify(refused.id, Some(refused.refusal));
         }
     }
 
     fn finish(&self, id: AdmissionId) {
         let mut state = self.lock();
-        state.waiting.remove(&id);
+        state.waiters.remove(&id);
         let started = state.admission.finish(id, Instant::now());
-        state.start(started);
+        state.notify_started(started);
     }
 
     fn lock(&self) -> MutexGuard<'_, GateState> {
@@ -152,39 +154,41 @@
     }
 }
 
-/// Wait of a request for its decision.
-struct Wait {
+/// Decision that a waiting request awaits.
+struct PendingDecision {
     expires_at: Instant,
-    decided: Receiver<Option<Refusal>>,
+    /// Receives the refusal, none if the request starts.
+    decision: Receiver<Option<Refusal>>,
 }
 
 impl GateState {
     fn update_limits(&mut self, snapshot: &Snapshot, now: Instant) {
         let Some(document) = &snapshot.document else { return };
-        let limits = LimitsInForce { document: document.offset, live_nodes: snapshot.live_nodes };
-        if self.limits == limits {
+        let limit_inputs =
+            LimitInputs { document_offset: document.offset, live_nodes: snapshot.live_nodes };
+        if self.limit_inputs == limit_inputs {
             return;
         }
-        self.limits = limits;
-        let started = self.admission.set_limits(document, limits.live_nodes, now);
-        self.start(started);
+        self.limit_inputs = limit_inputs;
+        let started = self.admission.set_limits(document, limit_inputs.live_nodes, now);
+        self.notify_started(started);
     }
 
-    fn start(&mut self, started: Vec<AdmissionId>) {
+    fn notify_started(&mut self, started: Vec<AdmissionId>) {
         for id in started {
-            self.decide(id, None);
+            self.notify(id, None);
         }
     }
 
-    fn decide(&mut self, id: AdmissionId, refusal: Option<Refusal>) {
-        let Some(decide) = self.waiting.remove(&id) else { return };
-        if decide.try_send(refusal).is_err() {
+    fn notify(&mut self, id: AdmissionId, refusal: Option<Refusal>) {
+        let Some(sender) = self.waiters.remove(&id) else { return };
+        if sender.try_send(refusal).is_err() {
             log::debug!("event=admission_caller_left ticket={id}");
         }
     }
 }
 
-/// Returns whether a refusal is by the workspace's own limits.
+/// Returns whether the reason is a limit of the workspace rather than the load of the system.
 pub fn is_workspace_limit(reason: RefusalReason) -> bool {
     match reason {
         RefusalReason::UnknownWorkspace | RefusalReason::RequestRate | RefusalReason::TokenRate => {
--- a/src/traffic/attempt.rs
+++ b/src/traffic/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt of a model request on a server.
+//! One attempt to run a model request on a server.
 
 use super::power_commitment::PowerCommitment;
 use crate::control::TrafficReport;
@@ -8,19 +8,19 @@
 use futures_lite::StreamExt;
 use std::time::Instant;
 
-/// Attempt on a server; counted as under way until it is dropped.
+/// Attempt on a server; counts towards the server's outstanding requests until dropped.
 pub struct Attempt {
     decision: RouteDecision,
     view: RoutingView,
     pending_prefill_tokens: u32,
     sent_at: Instant,
     first_token_at: Option<Instant>,
-    answer: Option<RunningAnswer>,
-    seen_incarnation: Option<Incarnation>,
+    answer: Option<AnswerStream>,
+    last_known_incarnation: Option<Incarnation>,
     power: PowerCommitment,
 }
 
-struct RunningAnswer {
+struct AnswerStream {
     incarnation: Incarnation,
     frames: FrameStream,
 }
@@ -32,7 +32,7 @@
 }
 
 impl Attempt {
-    /// Returns an attempt on the chosen server that is about to be sent.
+    /// Starts an attempt on the chosen server, before its request is sent.
     pub fn begin(
         decision: RouteDecision,
         view: RoutingView,
@@ -42,7 +42,7 @@
         let prompt_tokens = levels.last().map_or(0, |level| level.tokens);
         let pending_prefill_tokens = prompt_tokens.saturating_sub(decision.expected_hit_tokens);
         view.begin_request(&decision.server, pending_prefill_tokens);
-        let seen_incarnation = view.incarnation(&decision.server);
+        let last_known_incarnation = view.incarnation(&decision.server);
         Self {
             decision,
             view,
@@ -50,41 +50,42 @@
             sent_at: Instant::now(),
             first_token_at: None,
             answer: None,
-            seen_incarnation,
+            last_known_incarnation,
             power,
         }
     }
 
-    /// Takes in that the server runs the request; returns the load report that it sent, if any.
-    pub fn run(&mut self, answer: EngineAnswer) -> Option<TrafficReport> {
+    /// Attaches the answer of the server, which now runs the request; returns the load report sent
+    /// with it, if any.
+    pub fn set_answer(&mut self, answer: EngineAnswer) -> Option<TrafficReport> {
         let EngineAnswer { incarnation, load, frames } = answer;
-        self.answer = Some(RunningAnswer { incarnation, frames });
+        self.answer = Some(AnswerStream { incarnation, frames });
         let (server, asked_at) = (self.decision.server.clone(), self.sent_at);
         load.map(|report| TrafficReport::Load { server, report, asked_at })
     }
 
-    /// Returns the choice of the server.
+    /// Returns the routing decision of the attempt.
     pub fn decision(&self) -> &RouteDecision {
         &self.decision
     }
 
-    /// Returns the incarnation of the server: as it names itself, else as it was last seen.
+    /// Returns the server's incarnation as reported with the answer, else the last known one.
     pub fn incarnation(&self) -> Option<Incarnation> {
-        let named = self.answer.as_ref().map(|answer| answer.incarnation);
-        named.or(self.seen_incarnation)
+        let reported = self.answer.as_ref().map(|answer| answer.incarnation);
+        reported.or(self.last_known_incarnation)
     }
 
     /// Returns the next frame; a stream that ends without its last frame is an error.
     pub async fn next_frame(&mut self) -> PeerResult<EngineFrame> {
-        let Some(answer) = &mut self.answer else { return Err(self.cut()) };
+        let Some(answer) = &mut self.answer else { return Err(self.truncated_stream()) };
         match answer.frames.next().await {
             Some(result) => result,
-            None => Err(self.cut()),
+            None => Err(self.truncated_stream()),
         }
     }
 
-    /// Takes in that a frame came in order.
-    pub fn note_frame(&mut self) {
+    /// Records a frame that arrived in order; the first one ends the prefill.
+    pub fn record_frame(&mut self) {
         if self.first_token_at.is_some() {
             return;
         }
@@ -93,24 +94,24 @@
         self.view.finish_prefill(&self.decision.server, prefill_tokens);
     }
 
-    /// Takes in that the answer is complete, so that the server no longer draws power for it.
-    pub fn complete(&mut self) {
+    /// Releases the committed watts; call it when the server no longer runs the request.
+    pub fn release_power(&mut self) {
         self.power.release();
     }
 
-    /// Returns the times of an answer that ended at `ended_at`, none before its first token.
+    /// Returns the timing of an answer that ended at `ended_at`, none without a first token.
     pub fn timing(&self, ended_at: Instant) -> Option<AnswerTiming> {
         let first_token_at = self.first_token_at?;
         let expectation = self.decision.expectation;
         Some(AnswerTiming { sent_at: self.sent_at, first_token_at, ended_at, expectation })
     }
 
-    /// Returns an error of this attempt.
+    /// Returns an error at `step` of this attempt, with unknown delivery.
     pub fn error(&self, step: Step, source: anyhow::Error) -> PeerError {
         PeerError::new(step, self.decision.server.clone(), Delivery::Unknown, source)
     }
 
-    fn cut(&self) -> PeerError {
-        self.error(Step::ReadBody, anyhow::anyhow!("stream was cut"))
+    fn truncated_stream(&self) -> PeerError {
+        self.error(Step::ReadBody, anyhow::anyhow!("the stream ended before its last frame"))
     }
 }
--- a/src/traffic/body.rs
+++ b/src/traffic/body.rs
@@ -1,4 +1,4 @@
-//! Reads callers' bodies within limits of size and time.
+//! Reads request bodies within a size limit and a deadline.
 
 use super::{Failure, FailureCode};
 use crate::adapters::deadline::within;
@@ -7,7 +7,7 @@
 use hyper::body::Incoming;
 use std::time::Instant;
 
-/// Reads `body`, at most `limit_bytes`, before `deadline`.
+/// Reads `body`; fails if it exceeds `limit_bytes` or is incomplete at `deadline`.
 pub async fn read(body: Incoming, limit_bytes: usize, deadline: Instant) -> Result<Bytes, Failure> {
     let collected = within(deadline, Limited::new(body, limit_bytes).collect()).await;
     let Ok(collected) = collected else {
--- a/src/traffic/context.rs
+++ b/src/traffic/context.rs
@@ -1,4 +1,4 @@
-//! Context of the traffic threads: ports, limits, the latest snapshot and the way to control.
+//! State shared by the traffic threads.
 
 use super::admission_gate::AdmissionGate;
 use super::shed_signals::ShedSignals;
@@ -20,75 +20,76 @@
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError, Weak};
 
-/// What the control thread and the traffic threads share.
+/// State shared by the control thread and the traffic threads.
 #[derive(Clone)]
 pub struct SharedState {
-    /// Id of this run of the node.
+    /// Instance id of this process; each start of a node has a new one.
     pub instance: InstanceId,
     /// Settings.
     pub settings: Arc<Settings>,
     /// Latest snapshot of the control state.
     pub snapshot: Arc<ArcSwap<Snapshot>>,
-    /// Watts that the node may commit.
+    /// Account of the watts that the node may commit.
     pub power: Arc<PowerAccount>,
-    /// Signals to attempts whose watts are withdrawn.
+    /// Signals to attempts that are stopped because the power budget no longer covers them.
     pub shed_signals: Arc<ShedSignals>,
     /// Metrics.
     pub metrics: Metrics,
 }
 
-/// What the context of the traffic threads is made from.
+/// Dependencies of a [`TrafficContext`].
 pub struct TrafficDependencies {
-    /// Parts shared with the control thread.
+    /// State shared with the control thread.
     pub shared: SharedState,
-    /// Model engines.
+    /// Client of the model engines.
     pub engines: Arc<dyn ModelEngine>,
-    /// Plain services.
+    /// Client of the plain services.
     pub services: Arc<dyn PlainService>,
-    /// Events of the control thread.
-    pub control: Sender<ControlEvent>,
-    /// Executor of the traffic threads, held weakly since its tasks hold the context.
+    /// Queue of events for the control thread.
+    pub control_events: Sender<ControlEvent>,
+    /// Executor of the traffic threads; weak, because its tasks hold the context.
     pub executor: Weak<Executor<'static>>,
 }
 
-/// What traffic threads share.
+/// State shared by the traffic threads.
 pub struct TrafficContext {
-    /// Id of this run of the node.
+    /// Instance id of this process; each start of a node has a new one.
     pub instance: InstanceId,
     /// Settings.
     pub settings: Arc<Settings>,
     /// Latest snapshot of the control state.
     pub snapshot: Arc<ArcSwap<Snapshot>>,
-    /// Model engines.
+    /// Client of the model engines.
     pub engines: Arc<dyn ModelEngine>,
-    /// Plain services.
+    /// Client of the plain services.
     pub services: Arc<dyn PlainService>,
     /// Recent routing decisions.
     pub decisions: RecentDecisions,
     /// Metrics.
     pub metrics: Metrics,
-    /// Registry that exposes the metrics.
+    /// Registry of the metrics, read by the metrics endpoint.
     pub registry: Registry,
-    /// Watts that the node may commit.
+    /// Account of the watts that the node may commit.
     pub power: Arc<PowerAccount>,
-    /// Signals to attempts whose watts are withdrawn.
+    /// Signals to attempts that are stopped because the power budget no longer covers them.
     pub shed_signals: Arc<ShedSignals>,
     /// Admission of model requests.
     pub admission: Arc<AdmissionGate>,
-    /// Keeps requests that may crash servers apart.
+    /// Gate for requests suspected of crashing servers.
     pub suspects: SuspectGate,
-    /// Set once the node drains.
+    /// Whether the node drains; it then reports that it is not ready.
     pub draining: AtomicBool,
     executor: Weak<Executor<'static>>,
-    control: Sender<ControlEvent>,
+    control_events: Sender<ControlEvent>,
     retry_budget: Mutex<RetryBudget>,
-    next_request: AtomicU64,
+    next_request_number: AtomicU64,
 }
 
 impl TrafficContext {
     /// Returns the context of a node that has just started.
-    pub fn new(parts: TrafficDependencies) -> Self {
-        let TrafficDependencies { shared, engines, services, control, executor } = parts;
+    pub fn new(dependencies: TrafficDependencies) -> Self {
+        let TrafficDependencies { shared, engines, services, control_events, executor } =
+            dependencies;
         Self {
             instance: shared.instance,
             settings: shared.settings,
@@ -104,9 +105,9 @@
             suspects: SuspectGate::default(),
             draining: AtomicBool::new(false),
             executor,
-            control,
+            control_events,
             retry_budget: Mutex::new(RetryBudget::new(std::time::Instant::now())),
-            next_request: AtomicU64::new(0),
+            next_request_number: AtomicU64::new(0),
         }
     }
 
@@ -117,9 +118,9 @@
         }
     }
 
-    /// Returns an id for a new request, unique over all nodes.
+    /// Returns a new request id, unique across all nodes.
     pub fn new_request_id(&self) -> RequestId {
-        let number = self.next_request.fetch_add(1, Ordering::Relaxed);
+        let number = self.next_request_number.fetch_add(1, Ordering::Relaxed);
         format_smolstr!("{}-{number}", self.instance)
     }
 
@@ -128,21 +129,22 @@
         self.retry_budget.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Sends a claim's message to the control thread without waiting; returns whether it was sent.
-    pub fn send_claim(&self, message: ClaimsMessage) -> bool {
-        self.control.try_send(ControlEvent::Claims(message)).is_ok()
+    /// Sends a message about a claim to the control thread without waiting; returns whether it was
+    /// sent.
+    pub fn send_claims_message(&self, message: ClaimsMessage) -> bool {
+        self.control_events.try_send(ControlEvent::Claims(message)).is_ok()
     }
 
-    /// Tells the control thread that the node stops.
-    pub fn send_stopping(&self) {
-        if self.control.try_send(ControlEvent::Stopping).is_err() {
+    /// Notifies the control thread that the node stops.
+    pub fn announce_stop(&self) {
+        if self.control_events.try_send(ControlEvent::Stopping).is_err() {
             log::warn!("event=stop_not_announced");
         }
     }
 
-    /// Reports to the control thread without waiting; the report is dropped if control lags.
+    /// Sends a report to the control thread without waiting; drops it if the queue is full.
     pub fn report(&self, report: TrafficReport) {
-        if self.control.try_send(ControlEvent::Traffic(report)).is_err() {
+        if self.control_events.try_send(ControlEvent::Traffic(report)).is_err() {
             log::debug!("event=traffic_report_dropped");
         }
     }
--- a/src/traffic/dispatch.rs
+++ b/src/traffic/dispatch.rs
@@ -1,4 +1,4 @@
-//! Dispatch of callers' requests to the handlers.
+//! Dispatch of callers' requests to handlers.
 
 use super::handlers::{health, metrics, models, service_call, text_generation};
 use super::reply::failure_reply;
@@ -13,7 +13,7 @@
 /// Prefix of the paths of plain services.
 const SERVICES_PREFIX: &str = "/services/";
 
-/// Path that callers reach.
+/// Handler that a path belongs to.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 enum Route {
     Generation(Endpoint),
@@ -24,9 +24,9 @@
     Metrics,
 }
 
-/// Answers `request`.
+/// Runs the handler for `request`; counts, logs and encodes its failure, if any.
 pub async fn dispatch(context: Arc<TrafficContext>, request: Request<Incoming>) -> Reply {
-    let counted = Arc::clone(&context);
+    let failure_context = Arc::clone(&context);
     let result = match find_route(request.method(), request.uri().path()) {
         Ok(Route::Generation(endpoint)) => {
             text_generation::handle(context, endpoint, request).await
@@ -39,7 +39,7 @@
         Err(failure) => Err(failure),
     };
     result.unwrap_or_else(|failure| {
-        counted.count_failure(&failure);
+        failure_context.count_failure(&failure);
         log::info!(
             "event=refused code={} run={} message={}",
             failure.code,
@@ -54,7 +54,7 @@
     if path.starts_with(SERVICES_PREFIX) {
         return Ok(Route::ServiceCall);
     }
-    let (expected, route) = match path {
+    let (allowed_method, route) = match path {
         "/v1/chat/completions" => (Method::POST, Route::Generation(Endpoint::ChatCompletions)),
         "/v1/completions" => (Method::POST, Route::Generation(Endpoint::Completions)),
         "/v1/models" => (Method::GET, Route::Models),
@@ -66,9 +66,9 @@
             return Err(Failure::not_run(FailureCode::UnknownPath, message));
         }
     };
-    if *method == expected {
+    if *method == allowed_method {
         return Ok(route);
     }
-    let message = format!("{path} takes {expected}, not {method}");
+    let message = format!("{path} takes {allowed_method}, not {method}");
     Err(Failure::not_run(FailureCode::UnknownMethod, message))
 }
--- a/src/traffic/failure.rs
+++ b/src/traffic/failure.rs
@@ -1,4 +1,4 @@
-//! Errors that callers get, in the published form of the model endpoints.
+//! Errors returned to callers, in the format of the model endpoints.
 
 use super::RunState;
 use http::StatusCode;
@@ -11,9 +11,9 @@
 pub enum FailureCode {
     /// The bearer key is missing or unknown.
     InvalidApiKey,
-    /// The path is not served.
+    /// No endpoint has the path.
     UnknownPath,
-    /// The method is not served on the path.
+    /// The endpoint does not accept the method.
     UnknownMethod,
     /// The model is not in the document.
     ModelNotFound,
@@ -27,19 +27,19 @@
     BodyTooLarge,
     /// The body did not arrive in time.
     BodyTimeout,
-    /// The node has no document yet.
+    /// The node has not received a document yet.
     NotReady,
     /// No backend server can take the request.
     NoServer,
     /// A limit of the workspace is reached.
     RateLimited,
-    /// The system is loaded; the request would not have been answered in time.
+    /// The system lacks the capacity to run the request in time.
     Overloaded,
     /// The request crashed more than one backend server.
     PoisonRequest,
-    /// The request was stopped since the power budget no longer covers it.
+    /// The request was stopped because the power budget no longer covers it.
     PowerWithdrawn,
-    /// Attempts failed and no further one is made.
+    /// Attempts failed, and no retry is made.
     UpstreamFailed,
     /// The answer exceeds its limit.
     AnswerTooLarge,
@@ -47,12 +47,12 @@
     KeyAlreadyUsed,
     /// The idempotency key is not valid or too old.
     InvalidKey,
-    /// The platform's log cannot be reached, so that the call cannot be claimed.
+    /// The idempotency key could not be claimed, for example because the platform's log is down.
     ClaimUnavailable,
 }
 
 impl FailureCode {
-    /// Returns the status of a response with this code.
+    /// Returns the HTTP status of a response with this code.
     pub fn status(self) -> StatusCode {
         match self {
             Self::InvalidApiKey => StatusCode::UNAUTHORIZED,
@@ -73,7 +73,7 @@
         }
     }
 
-    /// Returns the type of the error in the published form.
+    /// Returns the value of the field `type` in the error body.
     pub fn error_type(self) -> &'static str {
         match self.status() {
             StatusCode::UNAUTHORIZED => "authentication_error",
@@ -84,16 +84,16 @@
     }
 }
 
-/// Error that a caller gets.
+/// Error returned to a caller.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Failure {
     /// Code.
     pub code: FailureCode,
-    /// Message for people.
+    /// Human-readable message.
     pub message: String,
     /// Whether the request was run.
     pub run_state: RunState,
-    /// When the caller should come back, if it should.
+    /// When the caller may retry, if a retry can succeed.
     pub retry_at: Option<Instant>,
 }
 
@@ -104,11 +104,11 @@
     }
 
     /// Returns the failure of a request that may have run.
-    pub fn unknown(code: FailureCode, message: impl Into<String>) -> Self {
+    pub fn outcome_unknown(code: FailureCode, message: impl Into<String>) -> Self {
         Self { code, message: message.into(), run_state: RunState::OutcomeUnknown, retry_at: None }
     }
 
-    /// Tells the caller to come back at `retry_at`.
+    /// Sets the time from which the caller may retry.
     pub fn retry_at(mut self, retry_at: Instant) -> Self {
         self.retry_at = Some(retry_at);
         self
--- a/src/traffic/generation.rs
+++ b/src/traffic/generation.rs
@@ -1,4 +1,4 @@
-//! Runs a model request: attempts on servers, resume after a failure, and the frames in order.
+//! Runs a model request: attempts on servers, resumption after failures, and relaying of frames.
 
 use super::attempt::Attempt;
 use super::generation_request::GenerationRequest;
@@ -21,55 +21,59 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// Time after which a caller should come back when no server can take its request.
-const NO_SERVER_RETRY: Duration = Duration::from_millis(1_000);
+/// Delay after which a caller may retry a failed request.
+const RETRY_DELAY: Duration = Duration::from_millis(1_000);
 
-/// Time that nodes take to confirm a crash and to tell each other of the strikes.
-const STRIKE_EXCHANGE: Duration = Duration::from_millis(150);
+/// Time in which nodes confirm a crash and send each other the strikes.
+const STRIKE_EXCHANGE_TIME: Duration = Duration::from_millis(150);
 
-/// Tokens of a completed answer.
+/// Token counts of a complete answer.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Usage {
     /// Tokens of the prompt.
     pub prompt_tokens: u32,
     /// Prompt tokens that came from a cache.
     pub cached_tokens: u32,
-    /// Tokens generated.
+    /// Generated tokens.
     pub completion_tokens: u32,
 }
 
-/// Next part of an answer.
+/// Item of an answer stream.
 #[derive(Clone, Debug, PartialEq)]
 pub enum AnswerItem {
-    /// Chunk in the published form.
+    /// Chunk in the format of the endpoint.
     Chunk(Value),
-    /// End of the complete answer.
+    /// End of the answer, which is complete.
     End(Usage),
 }
 
-/// Model request under way.
+/// Model request in progress, run by one or more attempts.
+///
+/// If an attempt fails, the next one resumes the answer at the first frame not yet relayed.
 pub struct Generation {
     context: Arc<TrafficContext>,
     request: GenerationRequest,
     attempt: Option<Attempt>,
-    shed: Option<ShedSignal>,
+    shed_signal: Option<ShedSignal>,
     suspect_permit: Option<SuspectPermit>,
     attempts: u32,
+    /// Servers on which an attempt failed.
     excluded: Vec<ServerId>,
-    order: FrameOrder,
+    frame_order: FrameOrder,
+    /// Whether a server may have acted on an attempt that failed.
     any_delivery_unknown: bool,
 }
 
-/// Why an attempt did not go on.
+/// Error of [`Generation::start_attempt`].
 enum AttemptError {
-    /// The request cannot be sent; it ends with this failure.
+    /// The request cannot be sent and fails without a retry.
     Final(Failure),
     /// The exchange with the server failed.
     Peer(PeerError),
 }
 
 impl Generation {
-    /// Returns a request that has not been sent yet; `is_suspect` if it may crash servers.
+    /// Returns a request that has not been sent yet; a suspect first waits until no other one runs.
     pub async fn new(
         context: Arc<TrafficContext>,
         request: GenerationRequest,
@@ -80,11 +84,11 @@
             context,
             request,
             attempt: None,
-            shed: None,
+            shed_signal: None,
             suspect_permit: None,
             attempts: 0,
             excluded: Vec::new(),
-            order: FrameOrder::default(),
+            frame_order: FrameOrder::default(),
             any_delivery_unknown: false,
         };
         if is_suspect {
@@ -98,12 +102,12 @@
         &self.request
     }
 
-    /// Counts a failure that ended the answer after its first part.
+    /// Counts a failure that ended the answer after its first item.
     pub fn count_failure(&self, failure: &Failure) {
         self.context.count_failure(failure);
     }
 
-    /// Returns the next part; after an error the answer cannot go on.
+    /// Returns the next item of the answer; an error is final.
     pub async fn next_item(&mut self) -> Result<AnswerItem, Failure> {
         loop {
             if self.attempt.is_none() {
@@ -117,7 +121,7 @@
                 }
             }
             let result = self.next_frame().await?;
-            match result.and_then(|frame| self.accept(frame)) {
+            match result.and_then(|frame| self.accept_frame(frame)) {
                 Ok(Some(part)) => return Ok(part),
                 Ok(None) => {}
                 Err(error) => self.fail_attempt(&error).await?,
@@ -125,17 +129,17 @@
         }
     }
 
-    /// Returns the next frame of the attempt, or a failure if its watts are withdrawn first.
+    /// Returns the next frame of the attempt, or a failure if its power is withdrawn first.
     async fn next_frame(&mut self) -> Result<Result<EngineFrame, PeerError>, Failure> {
-        let (Some(attempt), Some(shed)) = (&mut self.attempt, &self.shed) else {
-            return Err(self.no_server());
+        let (Some(attempt), Some(shed_signal)) = (&mut self.attempt, &self.shed_signal) else {
+            return Err(self.no_server_failure());
         };
         let frame = async { Some(attempt.next_frame().await) };
-        let withdrawn = async {
-            let _closed = shed.recv().await;
+        let shed = async {
+            let _closed = shed_signal.recv().await;
             None
         };
-        match frame.or(withdrawn).await {
+        match frame.or(shed).await {
             Some(result) => Ok(result),
             None => {
                 self.attempt = None;
@@ -148,14 +152,14 @@
 
     async fn start_attempt(&mut self) -> Result<(), AttemptError> {
         let snapshot = self.context.snapshot.load_full();
-        let query = self.query();
+        let query = self.route_query();
         let decision = self.route(&snapshot, &query).map_err(AttemptError::Final)?;
         log_decision(&query, &decision, self.attempts);
         self.context.decisions.push(&query, &decision);
         self.context.count_decision(&decision);
         let power = self.commit_power(&decision).await.map_err(AttemptError::Final)?;
         self.attempts += 1;
-        let engine_request = self.engine_request(&decision);
+        let engine_request = self.build_engine_request(&decision);
         let address = decision.address;
         self.context.report(TrafficReport::Sent(SentRequest {
             server: decision.server.clone(),
@@ -167,21 +171,21 @@
         let answer = self.context.engines.generate(address, engine_request).await;
         match answer {
             Ok(answer) => {
-                if let Some(report) = attempt.run(answer) {
+                if let Some(report) = attempt.set_answer(answer) {
                     self.context.report(report);
                 }
                 Ok(())
             }
             Err(error) => {
                 if error.delivery != Delivery::Unknown {
-                    attempt.complete();
+                    attempt.release_power();
                 }
                 Err(AttemptError::Peer(error))
             }
         }
     }
 
-    fn query(&self) -> RouteQuery {
+    fn route_query(&self) -> RouteQuery {
         RouteQuery {
             request: self.request.id.clone(),
             workspace: self.request.workspace.clone(),
@@ -198,13 +202,13 @@
         } else {
             snapshot.routing.route(query, now)
         };
-        let decision = decision.ok_or_else(|| self.no_server())?;
+        let decision = decision.ok_or_else(|| self.no_server_failure())?;
         self.check_wait(&decision, now)?;
         Ok(decision)
     }
 
-    /// Refuses a request that has not been run if even the best server would keep it waiting
-    /// longer than its priority allows.
+    /// Refuses a request that has not been sent yet if its expected wait on the chosen server
+    /// exceeds the maximum for its priority.
     fn check_wait(&self, decision: &RouteDecision, now: Instant) -> Result<(), Failure> {
         let admission = self.context.admission.config();
         let priority = self.request.priority;
@@ -217,7 +221,7 @@
         Err(Failure::not_run(FailureCode::Overloaded, message).retry_at(retry_at))
     }
 
-    /// Commits the watts of an attempt, waiting for them as long as the priority allows.
+    /// Commits the watts of an attempt, waiting for them up to the maximum for the priority.
     async fn commit_power(&mut self, decision: &RouteDecision) -> Result<PowerCommitment, Failure> {
         let attempt = PoweredAttempt {
             key: format_smolstr!("{}#{}", self.request.id, self.attempts),
@@ -227,15 +231,15 @@
             priority: self.request.priority,
             work_deadline: self.request.deadline,
         };
-        self.shed = Some(self.context.shed_signals.register(attempt.key.clone()));
-        let longest_wait = self.context.admission.config().max_wait(self.request.priority);
-        let give_up_at = self.request.deadline.min(Instant::now() + longest_wait);
+        self.shed_signal = Some(self.context.shed_signals.register(attempt.key.clone()));
+        let max_wait = self.context.admission.config().max_wait(self.request.priority);
+        let wait_deadline = self.request.deadline.min(Instant::now() + max_wait);
         let committed =
-            PowerCommitment::commit(Arc::clone(&self.context), attempt, give_up_at).await;
+            PowerCommitment::commit(Arc::clone(&self.context), attempt, wait_deadline).await;
         committed.map_err(|refusal| self.failure(FailureCode::Overloaded, refusal.to_string()))
     }
 
-    fn engine_request(&self, decision: &RouteDecision) -> EngineRequest {
+    fn build_engine_request(&self, decision: &RouteDecision) -> EngineRequest {
         let time_left = self.request.deadline.saturating_duration_since(Instant::now());
         EngineRequest {
             request_id: self.request.id.clone(),
@@ -243,29 +247,29 @@
             body: self.request.body.clone(),
             priority: self.request.priority,
             weights_version: self.request.weights_version.clone(),
-            resume_from_frame: self.order.next_frame(),
+            resume_from_frame: self.frame_order.next_frame(),
             prefix_levels: self.request.levels.clone(),
             import_keys: decision.import_keys.clone(),
             time_limit_ms: u64::try_from(time_left.as_millis()).unwrap_or(u64::MAX),
         }
     }
 
-    /// Takes a frame in order; skips one that has been relayed and refuses one that is too early.
-    fn accept(&mut self, frame: EngineFrame) -> Result<Option<AnswerItem>, PeerError> {
+    /// Returns the item to relay for a frame, none for a frame relayed before; a gap is an error.
+    fn accept_frame(&mut self, frame: EngineFrame) -> Result<Option<AnswerItem>, PeerError> {
         let position = match &frame {
             EngineFrame::Piece { number, .. } => FramePosition::Piece(*number),
             EngineFrame::End { number, .. } => FramePosition::End(*number),
         };
-        match self.order.accept(position) {
+        match self.frame_order.accept(position) {
             FrameAction::Relay => {}
             FrameAction::Skip => return Ok(None),
             FrameAction::Refuse(fault) => return Err(self.attempt_error(fault.into())),
         }
-        if self.order.next_frame() == 1 {
+        if self.frame_order.next_frame() == 1 {
             self.context.count_first_token(&self.request, Instant::now());
         }
         if let Some(attempt) = &mut self.attempt {
-            attempt.note_frame();
+            attempt.record_frame();
         }
         match frame {
             EngineFrame::Piece { chunk, .. } => Ok(Some(AnswerItem::Chunk(chunk))),
@@ -279,7 +283,7 @@
 
     fn complete_attempt(&mut self, usage: Usage) {
         let Some(attempt) = &mut self.attempt else { return };
-        attempt.complete();
+        attempt.release_power();
         self.context.count_answer(&self.request, usage, attempt.decision());
         let is_first = self.attempts == 1;
         let timing = attempt.timing(Instant::now()).filter(|_| is_first);
@@ -307,7 +311,7 @@
         }
     }
 
-    /// Ends the attempt; returns the final failure if no further attempt is made.
+    /// Ends the attempt after an error; returns a failure if the request is not retried.
     async fn fail_attempt(&mut self, error: &PeerError) -> Result<(), Failure> {
         let Some(attempt) = self.attempt.take() else { return Ok(()) };
         let server = attempt.decision().server.clone();
@@ -330,11 +334,11 @@
             "event=attempt_failed request={} server={server} attempts={} frames={} then={decision:?} {error}",
             self.request.id,
             self.attempts,
-            self.order.next_frame(),
+            self.frame_order.next_frame(),
         );
         self.excluded.push(server.clone());
         let suspicion = if error.is_cut() {
-            self.check_cut(server, incarnation).await
+            self.suspicion_after_cut(server, incarnation).await
         } else {
             Suspicion::None
         };
@@ -343,7 +347,7 @@
             return Err(self.failure(FailureCode::PoisonRequest, message));
         }
         match decision {
-            RetryDecision::GiveUp(reason) => Err(self.given_up(reason)),
+            RetryDecision::GiveUp(reason) => Err(self.no_retry_failure(reason)),
             RetryDecision::Retry => {
                 self.context.metrics.retries.inc();
                 if suspicion == Suspicion::Suspect {
@@ -354,43 +358,47 @@
         }
     }
 
-    /// Reports an answer that was cut; returns what is known against the request once the crash
-    /// could be confirmed and partners could tell their strikes.
-    async fn check_cut(&mut self, server: ServerId, incarnation: Option<Incarnation>) -> Suspicion {
+    /// Reports a connection that broke during the answer, waits until the crash could be confirmed
+    /// and strikes received from partners, and returns the suspicion against the request.
+    async fn suspicion_after_cut(
+        &mut self,
+        server: ServerId,
+        incarnation: Option<Incarnation>,
+    ) -> Suspicion {
         let fingerprint = self.request.fingerprint;
         self.context.report(TrafficReport::AttemptCut { server, incarnation, fingerprint });
-        Timer::after(STRIKE_EXCHANGE).await;
+        Timer::after(STRIKE_EXCHANGE_TIME).await;
         self.context.snapshot.load().poison.suspicion(fingerprint, Instant::now())
     }
 
-    /// Lets the request go on only while no other suspect of this node runs.
+    /// Waits until no other suspect of this node runs; returns without a permit at the deadline.
     async fn acquire_suspect_permit(&mut self) {
         if self.suspect_permit.is_some() {
             return;
         }
-        let entered = within(self.request.deadline, self.context.suspects.enter()).await;
-        self.suspect_permit = entered.ok();
+        let permit = within(self.request.deadline, self.context.suspects.acquire()).await;
+        self.suspect_permit = permit.ok();
     }
 
-    fn given_up(&self, reason: GiveUpReason) -> Failure {
+    fn no_retry_failure(&self, reason: GiveUpReason) -> Failure {
         let message = format!("{} attempts failed, then no further one: {reason}", self.attempts);
         self.failure(FailureCode::UpstreamFailed, message)
     }
 
-    fn no_server(&self) -> Failure {
+    fn no_server_failure(&self) -> Failure {
         let message = format!("no backend server can take model `{}` now", self.request.model);
         self.failure(FailureCode::NoServer, message)
     }
 
     fn failure(&self, code: FailureCode, message: String) -> Failure {
-        let failure = if self.any_delivery_unknown || self.order.next_frame() > 0 {
-            Failure::unknown(code, message)
+        let failure = if self.any_delivery_unknown || self.frame_order.next_frame() > 0 {
+            Failure::outcome_unknown(code, message)
         } else {
             Failure::not_run(code, message)
         };
         match code {
             FailureCode::PoisonRequest => failure,
-            _ => failure.retry_at(Instant::now() + NO_SERVER_RETRY),
+            _ => failure.retry_at(Instant::now() + RETRY_DELAY),
         }
     }
 
--- a/src/traffic/generation_request.rs
+++ b/src/traffic/generation_request.rs
@@ -1,4 +1,4 @@
-//! Checked form of a model request.
+//! Validation of model requests.
 
 use super::{Failure, FailureCode};
 use crate::control::Snapshot;
@@ -14,7 +14,7 @@
 use std::time::Instant;
 use xxhash_rust::xxh3::Xxh3Default;
 
-/// Header that names a priority.
+/// Request header with the priority: `batch`, `normal` or `interactive`.
 pub const PRIORITY_HEADER: &str = "x-priority";
 
 /// Endpoint of a model request.
@@ -36,38 +36,38 @@
     }
 }
 
-/// Checked model request.
+/// Validated model request.
 #[derive(Clone, Debug)]
 pub struct GenerationRequest {
-    /// Id.
+    /// Request id.
     pub id: RequestId,
     /// Endpoint.
     pub endpoint: Endpoint,
-    /// Workspace.
+    /// Workspace of the caller.
     pub workspace: WorkspaceId,
-    /// Model.
+    /// Model, or adapter of a model.
     pub model: ModelId,
-    /// Weights in force when the request arrived; all attempts use them.
+    /// Weights version in force when the request arrived; all attempts use it.
     pub weights_version: WeightsVersion,
-    /// Body for the engine, a stream with usage.
+    /// Body for the engine, changed to request a stream with usage.
     pub body: Value,
-    /// Fingerprint of the request, the same for each repetition by its caller.
+    /// Hash of workspace, endpoint and body; the same when a caller repeats the request.
     pub fingerprint: Fingerprint,
-    /// Levels of the prompt, outermost first.
+    /// Prefix levels of the prompt, outermost first; the last ends with the prompt.
     pub levels: Vec<PrefixLevel>,
-    /// Most tokens that the caller wants.
+    /// Maximum tokens to generate, a default if the caller sets no maximum.
     pub max_tokens: u32,
-    /// Whether the caller wants a stream.
+    /// Whether the caller requested a stream.
     pub stream: bool,
-    /// Whether the caller wants usage in the stream.
+    /// Whether the caller requested usage at the end of the stream.
     pub include_usage: bool,
     /// Priority.
     pub priority: Priority,
-    /// When the request is given up.
+    /// When the request times out.
     pub deadline: Instant,
 }
 
-/// Fields of a body that the router reads; all others are passed on.
+/// Body fields that the node reads; all others are passed on unchanged.
 #[derive(Deserialize)]
 struct BodyFields {
     model: ModelId,
@@ -89,46 +89,47 @@
     include_usage: bool,
 }
 
-/// Tokens that are expected of a request that names no bound.
+/// Tokens to generate that are assumed for a request without a maximum.
 const DEFAULT_MAX_TOKENS: u32 = 256;
 
-/// Raw model request.
+/// Model request before validation.
 pub struct RawGenerationRequest<'a> {
-    /// Id.
+    /// Request id.
     pub id: RequestId,
     /// Endpoint.
     pub endpoint: Endpoint,
     /// Workspace of the caller.
     pub workspace: WorkspaceId,
-    /// Headers.
+    /// Request headers.
     pub headers: &'a HeaderMap,
     /// Body.
     pub body: &'a Bytes,
-    /// When the request is given up.
+    /// When the request times out.
     pub deadline: Instant,
 }
 
 impl GenerationRequest {
-    /// Checks `raw` against the document in force.
+    /// Validates `raw` against the document in force.
     pub fn check(raw: RawGenerationRequest<'_>, snapshot: &Snapshot) -> Result<Self, Failure> {
         let document = snapshot.document.as_deref().ok_or_else(not_ready)?;
         let mut body: Value = serde_json::from_slice(raw.body).map_err(|error| {
             Failure::not_run(FailureCode::InvalidJson, format!("the body is not JSON: {error}"))
         })?;
-        let fields = BodyFields::deserialize(&body).map_err(|error| invalid(error.to_string()))?;
+        let fields =
+            BodyFields::deserialize(&body).map_err(|error| invalid_request(error.to_string()))?;
         if fields.n.is_some_and(|n| n != 1) {
-            return Err(invalid("n: only 1 is supported"));
+            return Err(invalid_request("n: only 1 is supported"));
         }
         check_prompt(raw.endpoint, &body)?;
-        let weights_version = find_weights(document, &fields.model)?;
-        let priority = find_priority(document, &raw.workspace, raw.headers)?;
+        let weights_version = weights_version_of(document, &fields.model)?;
+        let priority = request_priority(document, &raw.workspace, raw.headers)?;
         let scope = PrefixScope {
             workspace: &raw.workspace,
             model: &fields.model,
             weights_version: &weights_version,
         };
         let levels = prompt_levels(scope, &body);
-        let fingerprint = fingerprint(&raw.workspace, raw.endpoint, raw.body);
+        let fingerprint = hash_request(&raw.workspace, raw.endpoint, raw.body);
         body["stream"] = json!(true);
         body["stream_options"] = json!({ "include_usage": true });
         let max_tokens = fields.max_completion_tokens.or(fields.max_tokens);
@@ -149,13 +150,13 @@
         })
     }
 
-    /// Returns the estimated tokens of the prompt.
+    /// Returns the estimated number of prompt tokens.
     pub fn prompt_tokens(&self) -> u32 {
         self.levels.last().map_or(0, |level| level.tokens)
     }
 }
 
-fn fingerprint(workspace: &WorkspaceId, endpoint: Endpoint, body: &Bytes) -> Fingerprint {
+fn hash_request(workspace: &WorkspaceId, endpoint: Endpoint, body: &Bytes) -> Fingerprint {
     let mut hasher = Xxh3Default::new();
     for part in [workspace.as_bytes(), endpoint.path().as_bytes(), body] {
         hasher.update(&(part.len() as u64).to_le_bytes());
@@ -164,12 +165,12 @@
     hasher.digest()
 }
 
-/// Returns the failure of a node without a document.
+/// Returns the failure for a request to a node that has no document yet.
 pub fn not_ready() -> Failure {
     Failure::not_run(FailureCode::NotReady, "the node has no configuration yet")
 }
 
-fn invalid(message: impl Into<String>) -> Failure {
+fn invalid_request(message: impl Into<String>) -> Failure {
     Failure::not_run(FailureCode::InvalidRequest, message)
 }
 
@@ -177,27 +178,31 @@
     match endpoint {
         Endpoint::ChatCompletions => check_messages(&body["messages"]),
         Endpoint::Completions if body["prompt"].is_string() => Ok(()),
-        Endpoint::Completions => Err(invalid("prompt: must be a string")),
+        Endpoint::Completions => Err(invalid_request("prompt: must be a string")),
     }
 }
 
 fn check_messages(messages: &Value) -> Result<(), Failure> {
     let messages = messages.as_array().filter(|messages| !messages.is_empty());
-    let messages = messages.ok_or_else(|| invalid("messages: must be a list that is not empty"))?;
+    let messages =
+        messages.ok_or_else(|| invalid_request("messages: must be a list that is not empty"))?;
     for (index, message) in messages.iter().enumerate() {
         if !message["role"].is_string() {
-            return Err(invalid(format!("messages[{index}].role: must be a string")));
+            return Err(invalid_request(format!("messages[{index}].role: must be a string")));
         }
         if !message["content"].is_string() && !message["content"].is_array() {
-            return Err(invalid(format!("messages[{index}].content: must be text or its parts")));
+            return Err(invalid_request(format!(
+                "messages[{index}].content: must be text or its parts"
+            )));
         }
     }
     Ok(())
 }
 
-fn find_weights(document: &Document, model: &ModelId) -> Result<WeightsVersion, Failure> {
-    if let Some(found) = document.models.get(model) {
-        return Ok(found.weights_version.clone());
+/// Returns the weights version of a model, or of the model that `model` is an adapter of.
+fn weights_version_of(document: &Document, model: &ModelId) -> Result<WeightsVersion, Failure> {
+    if let Some(base) = document.models.get(model) {
+        return Ok(base.weights_version.clone());
     }
     let base = document.models.values().find(|base| base.adapters.contains(model));
     base.map(|base| base.weights_version.clone()).ok_or_else(|| {
@@ -205,18 +210,19 @@
     })
 }
 
-fn find_priority(
+/// Returns the priority that `headers` name, at most the highest one of the workspace.
+fn request_priority(
     document: &Document,
     workspace: &WorkspaceId,
     headers: &HeaderMap,
 ) -> Result<Priority, Failure> {
     let workspace = document.workspaces.get(workspace).ok_or_else(not_ready)?;
-    let Some(named) = headers.get(PRIORITY_HEADER) else {
+    let Some(value) = headers.get(PRIORITY_HEADER) else {
         return Ok(workspace.default_priority);
     };
-    let named = named.to_str().ok().and_then(|named| named.parse::<Priority>().ok());
-    let named = named.ok_or_else(|| {
-        invalid(format!("{PRIORITY_HEADER}: must be batch, normal or interactive"))
+    let priority = value.to_str().ok().and_then(|value| value.parse::<Priority>().ok());
+    let priority = priority.ok_or_else(|| {
+        invalid_request(format!("{PRIORITY_HEADER}: must be batch, normal or interactive"))
     })?;
-    Ok(named.min(workspace.highest_priority))
+    Ok(priority.min(workspace.highest_priority))
 }
--- a/src/traffic/handlers/claimed_call.rs
+++ b/src/traffic/handlers/claimed_call.rs
@@ -1,4 +1,4 @@
-//! Non-idempotent calls with an idempotency key: run only after the key has been claimed.
+//! Non-idempotent calls. A call with an idempotency key runs only after the key has been claimed.
 
 use super::service_call::call_once;
 use crate::control::ClaimsMessage;
@@ -15,23 +15,25 @@
 use std::time::Instant;
 use xxhash_rust::xxh3::Xxh3;
 
-/// Longest idempotency key in bytes.
-const LONGEST_KEY_BYTES: usize = 256;
+/// Maximum length of an idempotency key.
+const MAX_KEY_BYTES: usize = 256;
 
-/// What a key is claimed for.
+/// Request, workspace and service for which an idempotency key is claimed.
 #[derive(Clone, Copy, Debug)]
 pub struct ClaimScope<'a> {
-    /// Request.
+    /// Request id.
     pub request: &'a RequestId,
     /// Workspace of the caller.
     pub workspace: &'a WorkspaceId,
-    /// Service that is called.
+    /// Name of the service.
     pub service: &'a str,
 }
 
-/// Runs a non-idempotent call at most once. A call without a key has a single attempt; nothing can
-/// tell that a caller sends it again.
-pub async fn call(
+/// Runs a non-idempotent call at most once.
+///
+/// A call without an idempotency key is sent without a claim, since a repetition by its caller
+/// cannot be recognized.
+pub async fn run_at_most_once(
     context: &TrafficContext,
     scope: ClaimScope<'_>,
     servers: &[ServiceServer],
@@ -41,20 +43,20 @@
     let Some(key) = idempotency_key(call)? else {
         return call_once(context, servers, call, deadline).await;
     };
-    let hash = hash_key(scope.workspace, &ServiceId::from(scope.service), &key);
+    let key_hash = hash_key(scope.workspace, &ServiceId::from(scope.service), &key);
     let request = ClaimRequest {
         request_id: scope.request.clone(),
-        key: hash,
-        fingerprint: fingerprint(call),
+        key: key_hash,
+        fingerprint: hash_call(call),
         key_created_at: key_created_at(&key),
         deadline,
     };
-    let mut ticket = ClaimTicket::begin(context, request)?;
-    match ticket.verdict().await {
+    let mut guard = ClaimGuard::begin(context, request)?;
+    match guard.receive_verdict().await {
         Some(ClaimVerdict::Run { start_deadline, .. }) if Instant::now() < start_deadline => {
-            ticket.ending = RunEnding::OutcomeUnknown;
+            guard.ending = RunEnding::OutcomeUnknown;
             let result = call_once(context, servers, call, deadline).await;
-            ticket.ending = run_ending(&result);
+            guard.ending = run_ending(&result);
             result
         }
         Some(ClaimVerdict::Run { .. }) => Err(not_run(NotRunReason::ClaimTimeout)),
@@ -70,15 +72,15 @@
 fn idempotency_key(call: &ServiceCall) -> Result<Option<IdempotencyKey>, Failure> {
     let Some(value) = call.headers.get("idempotency-key") else { return Ok(None) };
     match value.to_str() {
-        Ok(key) if (1..=LONGEST_KEY_BYTES).contains(&key.len()) => Ok(Some(key.into())),
+        Ok(key) if (1..=MAX_KEY_BYTES).contains(&key.len()) => Ok(Some(key.into())),
         _ => {
-            let message = format!("idempotency-key must have 1 to {LONGEST_KEY_BYTES} characters");
+            let message = format!("idempotency-key must have 1 to {MAX_KEY_BYTES} characters");
             Err(Failure::not_run(FailureCode::InvalidKey, message))
         }
     }
 }
 
-fn fingerprint(call: &ServiceCall) -> Fingerprint {
+fn hash_call(call: &ServiceCall) -> Fingerprint {
     let mut hasher = Xxh3::new();
     for part in [call.method.as_str().as_bytes(), call.path.as_bytes(), &call.body] {
         hasher.update(&(part.len() as u64).to_le_bytes());
@@ -118,50 +120,51 @@
         | UnknownReason::AnswerNotKept
         | UnknownReason::UnderWay => FailureCode::KeyAlreadyUsed,
     };
-    Failure::unknown(code, format!("an earlier sending of the call may have run: {reason}"))
+    Failure::outcome_unknown(code, format!("an earlier sending of the call may have run: {reason}"))
 }
 
-/// Claim of a call under way. When it is dropped, also because the caller went away, the control
-/// thread learns how the call ended.
-struct ClaimTicket<'a> {
+/// Claim of a call in progress. Dropping it, also because the caller disconnected, reports to the
+/// control thread how the call ended.
+struct ClaimGuard<'a> {
     context: &'a TrafficContext,
     key: KeyHash,
-    verdicts: Receiver<ClaimVerdict>,
+    verdict_receiver: Receiver<ClaimVerdict>,
     claim: Option<ClaimId>,
     ending: RunEnding,
 }
 
-impl<'a> ClaimTicket<'a> {
+impl<'a> ClaimGuard<'a> {
     fn begin(context: &'a TrafficContext, request: ClaimRequest) -> Result<Self, Failure> {
-        let (reply, verdicts) = async_channel::bounded(1);
+        let (reply, verdict_receiver) = async_channel::bounded(1);
         let key = request.key;
-        if !context.send_claim(ClaimsMessage::Begin { request, reply }) {
+        if !context.send_claims_message(ClaimsMessage::Begin { request, reply }) {
             return Err(not_run(NotRunReason::Overloaded));
         }
-        Ok(Self { context, key, verdicts, claim: None, ending: RunEnding::NotRun })
+        Ok(Self { context, key, verdict_receiver, claim: None, ending: RunEnding::NotRun })
     }
 
-    async fn verdict(&mut self) -> Option<ClaimVerdict> {
-        let verdict = self.verdicts.recv().await.ok();
-        self.note_claim(verdict.as_ref());
+    async fn receive_verdict(&mut self) -> Option<ClaimVerdict> {
+        let verdict = self.verdict_receiver.recv().await.ok();
+        self.set_claim(verdict.as_ref());
         verdict
     }
 
-    fn note_claim(&mut self, verdict: Option<&ClaimVerdict>) {
+    fn set_claim(&mut self, verdict: Option<&ClaimVerdict>) {
         if let Some(ClaimVerdict::Run { claim, .. }) = verdict {
             self.claim = Some(*claim);
         }
     }
 }
 
-impl Drop for ClaimTicket<'_> {
+impl Drop for ClaimGuard<'_> {
     fn drop(&mut self) {
-        self.verdicts.close();
-        let unread = self.verdicts.try_recv().ok();
-        self.note_claim(unread.as_ref());
+        // The verdict may have arrived after the caller disconnected.
+        self.verdict_receiver.close();
+        let unread_verdict = self.verdict_receiver.try_recv().ok();
+        self.set_claim(unread_verdict.as_ref());
         let Some(claim) = self.claim else { return };
         let ended = ClaimsMessage::Ended { claim, key: self.key, ending: self.ending.clone() };
-        if !self.context.send_claim(ended) {
+        if !self.context.send_claims_message(ended) {
             log::warn!("event=claim_ending_lost claim={claim}");
         }
     }
--- a/src/traffic/handlers/health.rs
+++ b/src/traffic/handlers/health.rs
@@ -1,4 +1,4 @@
-//! Liveness and readiness.
+//! Liveness and readiness probes.
 
 use crate::adapters::http_server::Reply;
 use crate::traffic::TrafficContext;
@@ -6,12 +6,13 @@
 use http::StatusCode;
 use std::sync::atomic::Ordering;
 
-/// Answers that the process runs.
+/// Returns the reply to a liveness probe, always success.
 pub fn live() -> Reply {
     text_reply(StatusCode::OK, "ok\n")
 }
 
-/// Answers whether the node takes new calls: it has a document and does not drain.
+/// Returns the reply to a readiness probe: success while the node has a document and does not
+/// drain.
 pub fn ready(context: &TrafficContext) -> Reply {
     if context.draining.load(Ordering::Acquire) {
         return text_reply(StatusCode::SERVICE_UNAVAILABLE, "draining\n");
--- a/src/traffic/handlers/metrics.rs
+++ b/src/traffic/handlers/metrics.rs
@@ -1,4 +1,4 @@
-//! Metrics in the text form that monitoring systems scrape.
+//! Metrics endpoint in the OpenMetrics text format.
 
 use crate::adapters::http_server::Reply;
 use crate::metrics::encode;
@@ -6,7 +6,7 @@
 use crate::traffic::reply::text_reply;
 use http::StatusCode;
 
-/// Answers with all metrics of the node.
+/// Returns all metrics of the node.
 pub fn handle(context: &TrafficContext) -> Reply {
     match encode(&context.registry) {
         Ok(text) => text_reply(StatusCode::OK, text),
--- a/src/traffic/handlers/mod.rs
+++ b/src/traffic/handlers/mod.rs
@@ -1,4 +1,4 @@
-//! Handlers of callers' requests, one module an endpoint.
+//! Handlers of callers' requests, one module per kind of endpoint.
 
 pub mod claimed_call;
 pub mod health;
--- a/src/traffic/handlers/models.rs
+++ b/src/traffic/handlers/models.rs
@@ -1,4 +1,4 @@
-//! Lists the models that workspaces may call.
+//! List of the models that callers may use.
 
 use crate::adapters::http_server::Reply;
 use crate::traffic::authenticate::authenticate;
@@ -9,14 +9,14 @@
 use hyper::body::Incoming;
 use serde_json::{Value, json};
 
-/// Answers with the models of the document in force.
+/// Returns the models and adapters of the document in force.
 pub fn handle(context: &TrafficContext, request: &Request<Incoming>) -> Result<Reply, Failure> {
     let snapshot = context.snapshot.load();
     let document = snapshot.document.as_ref().ok_or_else(not_ready)?;
     authenticate(request.headers(), &snapshot)?;
-    let base = document.models.keys();
+    let models = document.models.keys();
     let adapters = document.models.values().flat_map(|model| &model.adapters);
-    let data: Vec<Value> = base
+    let data: Vec<Value> = models
         .chain(adapters)
         .map(|id| json!({ "id": id, "object": "model", "owned_by": "site" }))
         .collect();
--- a/src/traffic/handlers/service_call.rs
+++ b/src/traffic/handlers/service_call.rs
@@ -1,4 +1,4 @@
-//! Calls to plain services beside the model engines.
+//! Calls to plain services, which are HTTP services other than the model engines.
 
 use super::claimed_call::{self, ClaimScope};
 use crate::adapters::http_server::Reply;
@@ -15,16 +15,17 @@
 use smol_str::SmolStr;
 use std::time::{Duration, Instant};
 
-/// Headers of a call that are passed on.
-const REQUEST_HEADERS: [&str; 4] = ["content-type", "accept", "idempotency-key", "user-agent"];
+/// Request headers that are forwarded to the service.
+const FORWARDED_REQUEST_HEADERS: [&str; 4] =
+    ["content-type", "accept", "idempotency-key", "user-agent"];
 
-/// Headers of a response that are passed back.
-const RESPONSE_HEADERS: [&str; 3] = ["content-type", "etag", "location"];
+/// Response headers that are forwarded to the caller.
+const FORWARDED_RESPONSE_HEADERS: [&str; 3] = ["content-type", "etag", "location"];
 
-/// Time after which a caller should come back when no attempt succeeded.
-const RETRY_AFTER: Duration = Duration::from_millis(1_000);
+/// Delay after which a caller may retry when no server could be reached.
+const RETRY_DELAY: Duration = Duration::from_millis(1_000);
 
-/// Answers a call below `/services/{name}/`.
+/// Forwards a call to `/services/{name}/...` to a server of the service.
 pub async fn handle(
     context: &TrafficContext,
     request: Request<Incoming>,
@@ -46,24 +47,25 @@
     let call = ServiceCall {
         method: parts.method,
         path: path.into(),
-        headers: call_headers(&parts.headers, &id),
+        headers: forwarded_headers(&parts.headers, &id),
         body,
     };
     let deadline = arrived_at + Duration::from_millis(service.timeout_ms);
     let servers = rank_servers(service, &context.settings.availability_zone, &id);
     let response = if is_non_idempotent(service, &call.method, &call.path) {
         let scope = ClaimScope { request: &id, workspace: &workspace, service: name };
-        claimed_call::call(context, scope, &servers, &call, deadline).await
+        claimed_call::run_at_most_once(context, scope, &servers, &call, deadline).await
     } else {
         call_with_retries(context, &servers, &call, deadline).await
     }?;
-    Ok(reply(response))
+    Ok(service_reply(response))
 }
 
+/// Splits a request target into the service name and the path and query sent to the service.
 fn split_target(target: &str) -> Result<(&str, &str), Failure> {
-    let below = target.strip_prefix("/services/").unwrap_or_default();
-    let end = below.find(['/', '?']).unwrap_or(below.len());
-    let (name, path) = below.split_at(end);
+    let rest = target.strip_prefix("/services/").unwrap_or_default();
+    let end = rest.find(['/', '?']).unwrap_or(rest.len());
+    let (name, path) = rest.split_at(end);
     if path.starts_with('/') {
         return Ok((name, path));
     }
@@ -71,19 +73,21 @@
     Err(Failure::not_run(FailureCode::UnknownPath, message))
 }
 
-fn call_headers(headers: &HeaderMap, id: &RequestId) -> HeaderMap {
-    let mut passed = HeaderMap::new();
-    for name in REQUEST_HEADERS {
+fn forwarded_headers(headers: &HeaderMap, id: &RequestId) -> HeaderMap {
+    let mut forwarded = HeaderMap::new();
+    for name in FORWARDED_REQUEST_HEADERS {
         if let Some(value) = headers.get(name) {
-            passed.insert(name, value.clone());
+            forwarded.insert(name, value.clone());
         }
     }
-    passed.insert("x-request-id", id.parse().expect("a request id is a header value"));
-    passed
+    forwarded.insert("x-request-id", id.parse().expect("a request id is a valid header value"));
+    forwarded
 }
 
-/// Returns whether a call may not be repeated. A path that can be written otherwise, by escapes,
-/// dot segments or empty ones, counts as each path that the document names for its method.
+/// Returns whether a call must not be repeated.
+///
+/// A path with escapes, backslashes, parameters, dot segments or empty segments may be equivalent
+/// to another path. It counts as non-idempotent if the document lists any path for its method.
 fn is_non_idempotent(service: &Service, method: &Method, target: &str) -> bool {
     let path = target.split(['?', '#']).next().unwrap_or_default();
     let is_ambiguous =
@@ -94,20 +98,21 @@
     })
 }
 
-/// Orders servers: own availability zone first, each part turned by the request id.
+/// Returns the servers in the order to try: those of the own availability zone first, each group
+/// in a pseudorandom order seeded with the request id.
 fn rank_servers(service: &Service, own_zone: &str, id: &RequestId) -> Vec<ServiceServer> {
     let mut servers = service.servers.clone();
-    let turn = |server: &ServiceServer| {
+    let rank_hash = |server: &ServiceServer| {
         xxhash_rust::xxh3::xxh3_64_with_seed(
             server.name.as_bytes(),
             xxhash_rust::xxh3::xxh3_64(id.as_bytes()),
         )
     };
-    servers.sort_by_key(|server| (server.availability_zone != own_zone, turn(server)));
+    servers.sort_by_key(|server| (server.availability_zone != own_zone, rank_hash(server)));
     servers
 }
 
-/// Sends a non-idempotent call at most once: to another server only if no byte can have been sent.
+/// Sends a call at most once: tries the next server only if no byte reached the previous one.
 pub(super) async fn call_once(
     context: &TrafficContext,
     servers: &[ServiceServer],
@@ -122,15 +127,16 @@
             Err(error) => {
                 context.count_peer_error("service", &error);
                 if error.delivery != Delivery::NotSent {
-                    return Err(unknown_outcome(&error));
+                    return Err(outcome_unknown_failure(&error));
                 }
                 last_error = Some(error);
             }
         }
     }
-    Err(not_run(last_error))
+    Err(not_run_failure(last_error))
 }
 
+/// Sends an idempotent call, with retries on further servers within the retry budget.
 async fn call_with_retries(
     context: &TrafficContext,
     servers: &[ServiceServer],
@@ -139,7 +145,7 @@
 ) -> Result<ServiceResponse, Failure> {
     context.retry_budget().record_first_attempt(Instant::now());
     let mut last_error: Option<PeerError> = None;
-    let mut any_unknown = false;
+    let mut any_delivery_unknown = false;
     for (attempts, server) in (1..).zip(servers) {
         log_service_call(call, server, "idempotent");
         let error = match context.services.call(server.address, call.clone(), deadline).await {
@@ -147,7 +153,7 @@
             Err(error) => error,
         };
         context.count_peer_error("service", &error);
-        any_unknown |= error.delivery == Delivery::Unknown;
+        any_delivery_unknown |= error.delivery == Delivery::Unknown;
         let failed = FailedAttempt { attempts, delivery: error.delivery, deadline };
         last_error = Some(error);
         let decision = retry::decide(failed, &mut context.retry_budget(), Instant::now());
@@ -156,8 +162,8 @@
         }
     }
     match last_error {
-        Some(error) if any_unknown => Err(unknown_outcome(&error)),
-        last_error => Err(not_run(last_error)),
+        Some(error) if any_delivery_unknown => Err(outcome_unknown_failure(&error)),
+        last_error => Err(not_run_failure(last_error)),
     }
 }
 
@@ -170,23 +176,25 @@
     );
 }
 
-fn unknown_outcome(error: &PeerError) -> Failure {
+/// Returns the failure of a call that a server may have run, and logs its last error.
+fn outcome_unknown_failure(error: &PeerError) -> Failure {
     log::warn!("event=service_call_failed {error}");
     let message = "the call was sent, its outcome is unknown";
-    Failure::unknown(FailureCode::UpstreamFailed, message)
+    Failure::outcome_unknown(FailureCode::UpstreamFailed, message)
 }
 
-fn not_run(error: Option<PeerError>) -> Failure {
+/// Returns the failure of a call that no server ran, and logs its last error.
+fn not_run_failure(error: Option<PeerError>) -> Failure {
     let detail = error.map_or_else(SmolStr::default, |error| smol_str::format_smolstr!("{error}"));
     log::warn!("event=service_call_not_run {detail}");
     Failure::not_run(FailureCode::NoServer, "no server of the service can be reached")
-        .retry_at(Instant::now() + RETRY_AFTER)
+        .retry_at(Instant::now() + RETRY_DELAY)
 }
 
-fn reply(response: ServiceResponse) -> Reply {
+fn service_reply(response: ServiceResponse) -> Reply {
     let mut reply = Response::new(full_body(response.body));
     *reply.status_mut() = response.status;
-    for name in RESPONSE_HEADERS {
+    for name in FORWARDED_RESPONSE_HEADERS {
         if let Some(value) = response.headers.get(name) {
             reply.headers_mut().insert(name, value.clone());
         }
--- a/src/traffic/handlers/text_generation.rs
+++ b/src/traffic/handlers/text_generation.rs
@@ -1,4 +1,4 @@
-//! Model requests: chat completions and completions, streamed or whole.
+//! Model requests: chat completions and completions, streamed or in one response.
 
 use crate::adapters::http_server::Reply;
 use crate::control::Snapshot;
@@ -17,10 +17,10 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// Event that ends a complete stream.
+/// Last event of a complete stream.
 const DONE_EVENT: &[u8] = b"data: [DONE]\n\n";
 
-/// Answers a model request.
+/// Runs a model request and returns its reply, which is streamed if the caller requested a stream.
 pub async fn handle(
     context: Arc<TrafficContext>,
     endpoint: Endpoint,
@@ -43,23 +43,23 @@
     let snapshot = context.snapshot.load_full();
     let request = GenerationRequest::check(raw, &snapshot)?;
     let is_suspect = check_poison(&request, &snapshot)?;
-    let admitted = admit(&context, &request, &snapshot).await?;
+    let permit = admit(&context, &request, &snapshot).await?;
     let generation = Generation::new(context, request, is_suspect).await;
-    let mut running = RunningRequest { generation, _admitted: admitted };
+    let mut running = RunningRequest { generation, _permit: permit };
     let first = running.generation.next_item().await?;
     if running.generation.request().stream {
         return Ok(stream_reply(running, first));
     }
-    whole_reply(running, first, limits.answer_bytes).await
+    complete_reply(running, first, limits.answer_bytes).await
 }
 
-/// Generation with its place in admission, which is given back when the answer ends.
+/// Generation with its admission permit, which is released when the answer ends.
 struct RunningRequest {
     generation: Generation,
-    _admitted: AdmissionPermit,
+    _permit: AdmissionPermit,
 }
 
-/// Refuses a request that crashed servers; returns whether it may crash one.
+/// Refuses a request known to crash servers; returns whether it is a suspect.
 fn check_poison(request: &GenerationRequest, snapshot: &Snapshot) -> Result<bool, Failure> {
     match snapshot.poison.suspicion(request.fingerprint, Instant::now()) {
         Suspicion::None => Ok(false),
@@ -82,8 +82,8 @@
         tokens: request.prompt_tokens().saturating_add(request.max_tokens),
         deadline: request.deadline,
     };
-    let admitted = context.admission.admit(gate_request, snapshot).await;
-    admitted.map_err(|refusal| {
+    let admission = context.admission.admit(gate_request, snapshot).await;
+    admission.map_err(|refusal| {
         let code = if is_workspace_limit(refusal.reason) {
             FailureCode::RateLimited
         } else {
@@ -94,13 +94,13 @@
     })
 }
 
-/// State of a stream to a caller.
+/// State of the event stream to a caller.
 enum StreamState {
-    /// The part is to be sent next.
+    /// The item is sent next.
     Ready(Box<RunningRequest>, AnswerItem),
-    /// The next part is to be awaited.
+    /// The next item is awaited.
     Waiting(Box<RunningRequest>),
-    /// The stream is over.
+    /// The stream has ended.
     Ended,
 }
 
@@ -110,15 +110,15 @@
 }
 
 async fn next_event(state: StreamState) -> Option<(Bytes, StreamState)> {
-    let (running, part) = match state {
-        StreamState::Ready(running, part) => (running, Ok(part)),
+    let (running, item) = match state {
+        StreamState::Ready(running, item) => (running, Ok(item)),
         StreamState::Waiting(mut running) => {
-            let part = running.generation.next_item().await;
-            (running, part)
+            let item = running.generation.next_item().await;
+            (running, item)
         }
         StreamState::Ended => return None,
     };
-    match part {
+    match item {
         Ok(AnswerItem::Chunk(chunk)) => Some((encode_event(&chunk), StreamState::Waiting(running))),
         Ok(AnswerItem::End(usage)) => {
             Some((end_events(running.generation.request(), usage), StreamState::Ended))
@@ -152,17 +152,17 @@
     events.into()
 }
 
-async fn whole_reply(
+async fn complete_reply(
     running: RunningRequest,
     first: AnswerItem,
     limit_bytes: usize,
 ) -> Result<Reply, Failure> {
-    let RunningRequest { mut generation, _admitted } = running;
+    let RunningRequest { mut generation, _permit } = running;
     let mut text = String::new();
     let mut finish_reason = Value::Null;
-    let mut part = first;
+    let mut item = first;
     let usage = loop {
-        match part {
+        match item {
             AnswerItem::End(usage) => break usage,
             AnswerItem::Chunk(chunk) => {
                 let choice = &chunk["choices"][0];
@@ -174,11 +174,11 @@
         }
         if text.len() > limit_bytes {
             let message = format!("the answer exceeds {limit_bytes} bytes");
-            return Err(Failure::unknown(FailureCode::AnswerTooLarge, message));
+            return Err(Failure::outcome_unknown(FailureCode::AnswerTooLarge, message));
         }
-        part = generation.next_item().await?;
+        item = generation.next_item().await?;
     };
-    let body = whole_body(generation.request(), &text, &finish_reason, usage);
+    let body = complete_body(generation.request(), &text, &finish_reason, usage);
     Ok(json_reply(StatusCode::OK, &body))
 }
 
@@ -190,7 +190,7 @@
     text.as_str().unwrap_or_default()
 }
 
-fn whole_body(
+fn complete_body(
     request: &GenerationRequest,
     text: &str,
     finish_reason: &Value,
@@ -208,7 +208,7 @@
     };
     json!({
         "id": request.id,
-        "object": whole_object(request.endpoint),
+        "object": completion_object(request.endpoint),
         "model": request.model,
         "choices": [choice],
         "usage": usage_json(usage),
@@ -231,7 +231,7 @@
     }
 }
 
-fn whole_object(endpoint: Endpoint) -> &'static str {
+fn completion_object(endpoint: Endpoint) -> &'static str {
     match endpoint {
         Endpoint::ChatCompletions => "chat.completion",
         Endpoint::Completions => "text_completion",
--- a/src/traffic/mod.rs
+++ b/src/traffic/mod.rs
@@ -1,6 +1,8 @@
-//! Traffic threads: accept, admit, route, relay and retry.
+//! Request handling on the traffic threads: admission, routing, relaying and retries.
 //!
-//! Traffic threads decide on the latest snapshot and never wait for the control thread.
+//! Traffic threads decide on the latest [`Snapshot`](crate::control::Snapshot) of the control
+//! state and send events to the control thread without waiting for it. Only a call with an
+//! idempotency key awaits the control thread, for the verdict on its claim.
 
 pub mod admission_gate;
 pub mod attempt;
--- a/src/traffic/power_commitment.rs
+++ b/src/traffic/power_commitment.rs
@@ -1,4 +1,4 @@
-//! Watts committed to an attempt until its server no longer runs it.
+//! Power committed to an attempt until its server no longer runs it.
 
 use super::TrafficContext;
 use crate::decision::power::{PowerAnswer, PowerRequest, PowerSettings};
@@ -9,17 +9,18 @@
 use std::time::{Duration, Instant};
 use strum::{Display, IntoStaticStr};
 
-/// Period between two tries to commit watts.
-const RETRY_PERIOD: Duration = Duration::from_millis(20);
+/// Period of retries while too few watts are free.
+const COMMIT_RETRY_PERIOD: Duration = Duration::from_millis(20);
 
-/// Period between two tries to cancel.
-const CANCEL_PERIOD: Duration = Duration::from_millis(500);
+/// Period of retries of a failed cancellation.
+const CANCEL_RETRY_PERIOD: Duration = Duration::from_millis(500);
 
 /// Watts committed to one attempt.
 ///
-/// When it is dropped before [`PowerCommitment::release`], the server may still run the request: the
-/// watts are then held until the server has confirmed a cancel, or until the work deadline that
-/// the server itself enforces has passed for a request that was under way.
+/// If it is dropped before [`PowerCommitment::release`], the server may still run the request. The
+/// request is then cancelled in the background, and the watts stay committed until the server
+/// confirms the cancellation or refuses connections, or until the deadline that the server itself
+/// enforces has passed.
 pub struct PowerCommitment {
     context: Arc<TrafficContext>,
     key: RequestId,
@@ -34,18 +35,19 @@
 #[derive(Clone, Copy, Debug, Display, Eq, IntoStaticStr, PartialEq)]
 #[strum(serialize_all = "snake_case")]
 pub enum PowerRefusal {
-    /// No watts became free while the priority allowed to wait.
+    /// Too few watts became free within the maximum wait.
     NoWattsFree,
-    /// The site's budget does not cover a request of the server.
+    /// The budget of the whole site does not cover a request of the server, the request already
+    /// runs, or the server is unknown.
     BudgetTooSmall,
 }
 
-/// What a hold is for.
+/// Attempt that needs power.
 #[derive(Clone, Debug)]
 pub struct PoweredAttempt {
     /// Key of the attempt in the power account.
     pub key: RequestId,
-    /// Request, by which the server knows the work.
+    /// Id under which the server runs the request.
     pub request: RequestId,
     /// Server.
     pub server: ServerId,
@@ -53,38 +55,38 @@
     pub address: SocketAddr,
     /// Priority of the request.
     pub priority: Priority,
-    /// When the server stops the work at the latest.
+    /// Deadline that the server enforces on the request.
     pub work_deadline: Instant,
 }
 
 impl PowerCommitment {
-    /// Commits the watts of `attempt`, waiting for them until `give_up_at`.
+    /// Commits the watts of `attempt`, waiting until `wait_deadline` while too few are free.
     pub async fn commit(
         context: Arc<TrafficContext>,
         attempt: PoweredAttempt,
-        give_up_at: Instant,
+        wait_deadline: Instant,
     ) -> Result<Self, PowerRefusal> {
-        let start = PowerRequest {
+        let power_request = PowerRequest {
             request: attempt.key.clone(),
             server: attempt.server.clone(),
             priority: attempt.priority,
             work_deadline: attempt.work_deadline,
         };
         loop {
-            match context.power.try_start(&start, Instant::now()) {
+            match context.power.try_start(&power_request, Instant::now()) {
                 PowerAnswer::Started => break,
                 PowerAnswer::Impossible => return Err(PowerRefusal::BudgetTooSmall),
-                PowerAnswer::Lacking if Instant::now() >= give_up_at => {
+                PowerAnswer::Lacking if Instant::now() >= wait_deadline => {
                     return Err(PowerRefusal::NoWattsFree);
                 }
-                PowerAnswer::Lacking => Timer::after(RETRY_PERIOD).await,
+                PowerAnswer::Lacking => Timer::after(COMMIT_RETRY_PERIOD).await,
             };
         }
         let PoweredAttempt { key, request, server, address, work_deadline, .. } = attempt;
         Ok(Self { context, key, request, server, address, work_deadline, released: false })
     }
 
-    /// Gives the watts back: the server no longer runs the request, or never has.
+    /// Releases the watts; call it when the server no longer runs the request or never did.
     pub fn release(&mut self) {
         if !std::mem::replace(&mut self.released, true) {
             self.context.power.finish(&self.key);
@@ -104,33 +106,33 @@
             request,
             server: self.server.clone(),
             address: self.address,
-            ends_by: self.work_deadline + transit,
+            end_deadline: self.work_deadline + transit,
         };
         self.context.spawn(async move {
-            work.end(&context).await;
+            work.cancel(&context).await;
             context.power.finish(&key);
         });
     }
 }
 
-/// Work that nobody waits for and that a server may still run.
+/// Request that is no longer awaited and that a server may still run.
 struct AbandonedWork {
     request: RequestId,
     server: ServerId,
     address: SocketAddr,
-    ends_by: Instant,
+    end_deadline: Instant,
 }
 
 impl AbandonedWork {
-    /// Cancels the work until the server confirms it, its port is closed, or the work has ended by
-    /// its time limit. A server that came back empty confirms at once.
-    async fn end(&self, context: &TrafficContext) {
+    /// Cancels the request, with retries until the server confirms it or refuses connections, or
+    /// until the deadline has passed. A restarted server confirms at once.
+    async fn cancel(&self, context: &TrafficContext) {
         while let Err(error) = context.engines.cancel(self.address, self.request.clone()).await {
             log::warn!("event=cancel_failed server={} {error}", self.server);
-            if error.is_connection_refused() || Instant::now() >= self.ends_by {
+            if error.is_connection_refused() || Instant::now() >= self.end_deadline {
                 return;
             }
-            Timer::at(self.ends_by.min(Instant::now() + CANCEL_PERIOD)).await;
+            Timer::at(self.end_deadline.min(Instant::now() + CANCEL_RETRY_PERIOD)).await;
         }
     }
 }
--- a/src/traffic/reply.rs
+++ b/src/traffic/reply.rs
@@ -12,17 +12,17 @@
 use serde_json::{Value, json};
 use std::time::Instant;
 
-/// Header that tells whether a failed request was run.
+/// Response header of a failed request, with its [`RunState`](super::RunState).
 pub const RUN_STATE_HEADER: &str = "x-coriandertide-run";
 
-/// Returns a body of `bytes`.
+/// Returns a response body of `bytes`.
 pub fn full_body(bytes: impl Into<Bytes>) -> ReplyBody {
     Full::new(bytes.into()).map_err(|never| match never {}).boxed_unsync()
 }
 
 /// Returns a JSON response.
 pub fn json_reply(status: StatusCode, body: &impl Serialize) -> Reply {
-    let bytes = serde_json::to_vec(body).expect("a reply encodes as JSON");
+    let bytes = serde_json::to_vec(body).expect("the body serializes to JSON");
     Response::builder()
         .status(status)
         .header("content-type", "application/json")
@@ -30,7 +30,7 @@
         .expect("a valid response")
 }
 
-/// Returns a response of plain text.
+/// Returns a plain-text response.
 pub fn text_reply(status: StatusCode, text: impl Into<String>) -> Reply {
     Response::builder()
         .status(status)
@@ -39,7 +39,7 @@
         .expect("a valid response")
 }
 
-/// Returns a stream of server-sent events.
+/// Returns a response that streams encoded server-sent events.
 pub fn event_stream_reply(events: impl Stream<Item = Bytes> + Send + 'static) -> Reply {
     let frames = events.map(|bytes| Ok(Frame::data(bytes)));
     Response::builder()
@@ -50,7 +50,7 @@
         .expect("a valid response")
 }
 
-/// Returns the response for `failure`.
+/// Returns the response for `failure`, with the time to the earliest retry in two headers.
 pub fn failure_reply(failure: &Failure) -> Reply {
     let mut reply = json_reply(failure.code.status(), &failure_body(failure));
     let headers = reply.headers_mut();
@@ -65,7 +65,7 @@
     reply
 }
 
-/// Returns the body for `failure` in the published form.
+/// Returns the error body for `failure`, in the format of the model endpoints.
 pub fn failure_body(failure: &Failure) -> Value {
     json!({
         "error": {
--- a/src/traffic/run_state.rs
+++ b/src/traffic/run_state.rs
@@ -1,13 +1,13 @@
-//! Whether a request that got no answer was run.
+//! Whether a failed request was run.
 
 use strum::{Display, IntoStaticStr};
 
-/// Whether a request was run; sent with each error as a field and a header.
+/// Whether a failed request was run; sent with each error as a body field and a header.
 #[derive(Clone, Copy, Debug, Display, Eq, IntoStaticStr, PartialEq)]
 #[strum(serialize_all = "snake_case")]
 pub enum RunState {
-    /// No attempt can have started.
+    /// No server can have started the request.
     NotRun,
-    /// An attempt may have run; its outcome is unknown.
+    /// A server may have run the request; the outcome is unknown.
     OutcomeUnknown,
 }
--- a/src/traffic/shed_signals.rs
+++ b/src/traffic/shed_signals.rs
@@ -1,4 +1,4 @@
-//! Tells running attempts that their watts are withdrawn.
+//! Signals that stop running attempts when the power budget no longer covers them.
 
 use crate::types::RequestId;
 use async_channel::{Receiver, Sender};
@@ -6,31 +6,31 @@
 use std::convert::Infallible;
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
-/// Signal that closes when the watts of an attempt are withdrawn.
+/// Channel that closes when an attempt must stop.
 pub type ShedSignal = Receiver<Infallible>;
 
-/// Signals of the running attempts, by their key in the power account.
+/// Shed signals of the running attempts, by their key in the power account.
 #[derive(Debug, Default)]
 pub struct ShedSignals {
-    running: Mutex<HashMap<RequestId, Sender<Infallible>>>,
+    senders: Mutex<HashMap<RequestId, Sender<Infallible>>>,
 }
 
 impl ShedSignals {
-    /// Returns the signal of a new attempt.
+    /// Returns the signal of a new attempt, and removes those that were dropped.
     pub fn register(&self, key: RequestId) -> ShedSignal {
-        let (shed, signal) = async_channel::bounded(1);
-        let mut running = self.lock();
-        running.retain(|_, shed| shed.receiver_count() > 0);
-        running.insert(key, shed);
+        let (sender, signal) = async_channel::bounded(1);
+        let mut senders = self.lock();
+        senders.retain(|_, sender| sender.receiver_count() > 0);
+        senders.insert(key, sender);
         signal
     }
 
-    /// Withdraws the watts of an attempt.
+    /// Signals an attempt that it must stop.
     pub fn shed(&self, key: &RequestId) {
         self.lock().remove(key);
     }
 
     fn lock(&self) -> MutexGuard<'_, HashMap<RequestId, Sender<Infallible>>> {
-        self.running.lock().unwrap_or_else(PoisonError::into_inner)
+        self.senders.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
--- a/src/traffic/suspect_gate.rs
+++ b/src/traffic/suspect_gate.rs
@@ -1,4 +1,5 @@
-//! Runs requests that may crash servers one at a time and apart from other nodes' suspects.
+//! Runs suspects (requests that may crash servers) one at a time on a node, and spreads those of
+//! different nodes over the servers, so that a crash has one likely cause.
 
 use crate::control::Snapshot;
 use crate::decision::routing::{RouteDecision, RouteQuery};
@@ -7,30 +8,32 @@
 use std::sync::Arc;
 use std::time::Instant;
 
-/// Lets one suspect of this node run at a time.
+/// Limits this node to one running suspect.
 #[derive(Debug)]
 pub struct SuspectGate {
-    slot: Arc<Semaphore>,
+    semaphore: Arc<Semaphore>,
 }
 
-/// The one place of a running suspect; given back when dropped.
+/// Permit to run a suspect, released when dropped.
 pub type SuspectPermit = SemaphoreGuardArc;
 
 impl Default for SuspectGate {
     fn default() -> Self {
-        Self { slot: Arc::new(Semaphore::new(1)) }
+        Self { semaphore: Arc::new(Semaphore::new(1)) }
     }
 }
 
 impl SuspectGate {
-    /// Waits until no other suspect of this node runs.
-    pub async fn enter(&self) -> SuspectPermit {
-        self.slot.acquire_arc().await
+    /// Waits until no other suspect of this node runs, and returns the permit.
+    pub async fn acquire(&self) -> SuspectPermit {
+        self.semaphore.acquire_arc().await
     }
 }
 
-/// Chooses a server for a suspect: nodes of different rank begin at different parts of the list of
-/// servers, so that a crash points at one suspect.
+/// Chooses a server for a suspect, or none if no server is eligible.
+///
+/// Each node starts its search at another offset of the server list, by its rank among the live
+/// nodes, so that suspects of different nodes run on different servers if there are enough.
 pub fn route_suspect(
     snapshot: &Snapshot,
     query: &RouteQuery,
@@ -41,8 +44,8 @@
     let servers: Vec<&ServerId> = all.filter(|server| !query.excluded.contains(server)).collect();
     let stride = (servers.len() / snapshot.live_nodes.max(1) as usize).max(1);
     let first = snapshot.node_rank as usize * stride;
-    let mut in_turn = (0..servers.len()).map(|step| servers[(first + step) % servers.len()]);
-    in_turn.find_map(|chosen| {
+    let mut rotated = (0..servers.len()).map(|offset| servers[(first + offset) % servers.len()]);
+    rotated.find_map(|chosen| {
         let mut query = query.clone();
         let others = document.servers.keys().filter(|server| *server != chosen);
         query.excluded = others.cloned().collect();
