--- a/src/bin/coriandertide-node.rs
+++ b/src/bin/coriandertide-node.rs
@@ -1,4 +1,4 @@
-//! Daemon of an entry instance.
+//! Node daemon, one per entry instance.
 
 use std::process::ExitCode;
 
--- a/src/bin/coriandertide.rs
+++ b/src/bin/coriandertide.rs
@@ -1,4 +1,4 @@
-//! The operators' command line.
+//! Command-line tool for operators.
 
 use std::process::ExitCode;
 
--- a/src/daemon/mod.rs
+++ b/src/daemon/mod.rs
@@ -1,4 +1,4 @@
-//! Assembles a node from its settings and runs it on threads of its own.
+//! Node daemon: builds a node from its settings and runs its threads.
 
 pub mod node;
 pub mod run;
--- a/src/daemon/run.rs
+++ b/src/daemon/run.rs
@@ -8,10 +8,10 @@
 use std::path::PathBuf;
 use std::process::ExitCode;
 
-/// Exit code of faulty settings, as operators' scripts know it.
-const FAULTY_SETTINGS: u8 = 2;
+/// Exit code for invalid settings; operators' scripts depend on it.
+const INVALID_SETTINGS_EXIT_CODE: u8 = 2;
 
-/// Options of the daemon.
+/// Command line of the daemon.
 #[derive(Bpaf, Clone, Debug)]
 #[bpaf(options, version)]
 struct Options {
@@ -22,7 +22,7 @@
     check: bool,
 }
 
-/// Runs the daemon until it is told to stop.
+/// Runs the daemon until it receives SIGTERM or SIGINT.
 pub fn run() -> ExitCode {
     let options = options().run();
     let settings = match settings_or_exit_code(Settings::load(&options.settings), options.check) {
@@ -39,15 +39,18 @@
     }
 }
 
-/// Returns the settings that a program goes on with, or the code with which it ends: that of faulty
-/// settings, or of a mere check.
-pub fn settings_or_exit_code<T>(loaded: anyhow::Result<T>, is_check: bool) -> Result<T, ExitCode> {
+/// Returns the loaded settings, or the exit code if they are invalid or were only to be checked.
+/// Prints the errors or the result of the check.
+pub fn settings_or_exit_code<T>(
+    loaded: anyhow::Result<T>,
+    check_only: bool,
+) -> Result<T, ExitCode> {
     match loaded {
         Err(error) => {
             eprintln!("{error:#}");
-            Err(ExitCode::from(FAULTY_SETTINGS))
+            Err(ExitCode::from(INVALID_SETTINGS_EXIT_CODE))
         }
-        Ok(_) if is_check => {
+        Ok(_) if check_only => {
             println!("settings are valid");
             Err(ExitCode::SUCCESS)
         }
--- a/src/daemon/threads.rs
+++ b/src/daemon/threads.rs
@@ -1,4 +1,4 @@
-//! Threads of a node: one for control, others for traffic.
+//! Threads of a node: one control thread and several traffic threads.
 
 use async_channel::Receiver;
 use futures_lite::FutureExt;
@@ -9,25 +9,26 @@
 use std::sync::Arc;
 use std::thread::{self, JoinHandle};
 
-/// Channel that carries nothing and closes when its threads are to stop.
+/// Channel without messages that closes when its receivers must stop.
 pub type StopSignal = Receiver<Infallible>;
 
-/// Starts a thread that runs the tasks of `executor` until `stop` closes.
+/// Starts a traffic thread, which runs the tasks of `executor` until `stop_signal` closes.
 pub fn spawn_traffic(
     name: String,
     executor: Arc<Executor<'static>>,
-    stop: StopSignal,
+    stop_signal: StopSignal,
 ) -> std::io::Result<JoinHandle<()>> {
     thread::Builder::new().name(name).spawn(move || {
-        smol::block_on(executor.run(closed(stop)));
+        smol::block_on(executor.run(wait_until_closed(stop_signal)));
     })
 }
 
-/// Starts the control thread; `start` gets its executor and returns its main task.
+/// Starts the control thread, which runs the main task that `create_main_task` returns, until
+/// `stop_signal` closes.
 pub fn spawn_control<F, T>(
     name: String,
-    start: F,
-    stop: StopSignal,
+    create_main_task: F,
+    stop_signal: StopSignal,
 ) -> std::io::Result<JoinHandle<()>>
 where
     F: FnOnce(Weak<LocalExecutor<'static>>) -> T + Send + 'static,
@@ -35,12 +36,12 @@
 {
     thread::Builder::new().name(name).spawn(move || {
         let executor = Rc::new(LocalExecutor::new());
-        let main = start(Rc::downgrade(&executor));
-        smol::block_on(executor.run(main.or(closed(stop))));
+        let main_task = create_main_task(Rc::downgrade(&executor));
+        smol::block_on(executor.run(main_task.or(wait_until_closed(stop_signal))));
     })
 }
 
-/// Waits until all `threads` have ended.
+/// Waits until all `threads` have ended, and logs each that panicked.
 pub fn join(threads: Vec<JoinHandle<()>>) {
     for thread in threads {
         if thread.join().is_err() {
@@ -49,6 +50,6 @@
     }
 }
 
-async fn closed(stop: StopSignal) {
-    let _closed = stop.recv().await;
+async fn wait_until_closed(signal: StopSignal) {
+    let _closed = signal.recv().await;
 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,7 +1,7 @@
-//! Router for language-model traffic with long shared prompts.
+//! Router for language-model requests with long shared prompt prefixes.
 //!
-//! Every node runs the same library. Decisions are pure state machines in [`decision`]; the traits
-//! in [`ports`] are the edges of a process and [`adapters`] the protocols behind them.
+//! All nodes run the same code. Decisions are pure state machines in [`decision`]. The traits in
+//! [`ports`] abstract external services, and [`adapters`] implement them over their protocols.
 
 pub mod adapters;
 pub mod admin;
