--- a/src/daemon/node.rs
+++ b/src/daemon/node.rs
@@ -1,6 +1,6 @@
 //! A node: listeners, the control thread and the traffic threads.
 
-use super::threads::{self, StopSignal, spawn_control, spawn_traffic};
+use super::threads::{self, spawn_control, spawn_traffic};
 use crate::adapters::http_server::{self, Handler, ServerLimits};
 use crate::adapters::{
     HttpInstanceList, HttpKvStore, HttpLogService, HttpModelEngine, HttpPlainService,
@@ -219,7 +219,7 @@
 
 fn start_control(
     dependencies: ControlDependencies,
-    stop_signal: StopSignal,
+    stop_signal: Receiver<Infallible>,
 ) -> anyhow::Result<JoinHandle<()>> {
     let create_main_task = move |executor| {
         let SharedState { instance, settings, snapshot, power, shed_signals, metrics } =
@@ -261,7 +261,7 @@
     executor: &Arc<Executor<'static>>,
     listener: TcpListener,
     traffic: &Arc<TrafficContext>,
-    drain_signal: StopSignal,
+    drain_signal: Receiver<Infallible>,
 ) {
     let context = Arc::clone(traffic);
     let handler: Handler =
@@ -276,7 +276,7 @@
     executor: &Arc<Executor<'static>>,
     listener: TcpListener,
     traffic: &Arc<TrafficContext>,
-    drain_signal: StopSignal,
+    drain_signal: Receiver<Infallible>,
 ) {
     let settings = &traffic.settings;
     let timeout = Duration::from_millis(settings.control.exchange_timeout_ms);
--- a/src/traffic/admission_gate.rs
+++ b/src/traffic/admission_gate.rs
@@ -104,7 +104,7 @@
         (state.admission.running(), state.admission.waiting())
     }
 
-    /// Submits `request` to admission; returns its permit and, while it waits, the pending decision.
+    /// Submits `request` to admission; returns its permit, and the decision to await if it waits.
     fn submit(
         self: &Arc<Self>,
         request: GateRequest,
--- a/tests/whole_path/answers.rs
+++ b/tests/whole_path/answers.rs
@@ -1,4 +1,4 @@
-//! Answers arrive whole and in order, also when servers crash meanwhile.
+//! Answers arrive complete and in order, also if a backend server crashes or the node drains.
 
 use super::caller::{Answer, call, chat, chat_text, get, open, post};
 use super::site::Site;
@@ -26,44 +26,44 @@
     pieces("small", &prompt, TOKENS, 1).concat()
 }
 
-fn stream(address: SocketAddr) -> Answer {
+fn send_streamed(address: SocketAddr) -> Answer {
     call(address, post("/v1/chat/completions", chat(TOKENS, true).to_string())).unwrap()
 }
 
-fn assert_whole(answer: &Answer) {
-    let (text, is_whole) = chat_text(&answer.body);
-    assert!(is_whole, "{}", String::from_utf8_lossy(&answer.body));
+fn assert_complete(answer: &Answer) {
+    let (text, is_complete) = chat_text(&answer.body);
+    assert!(is_complete, "{}", String::from_utf8_lossy(&answer.body));
     assert_eq!(text, expected_text(&chat(TOKENS, true)));
 }
 
 #[test]
-fn a_stream_arrives_whole_while_another_server_is_killed() {
+fn a_stream_completes_when_another_server_crashes() {
     let site = Site::start();
     let node = site.start_node();
     let address = node.caller_address();
-    let caller = thread::spawn(move || stream(address));
+    let stream_thread = thread::spawn(move || send_streamed(address));
     let busy = site.busy_engine().config().name.clone();
     let other = site.engines.iter().find(|engine| engine.config().name != busy).unwrap();
     other.crash(Duration::from_secs(60));
-    assert_whole(&caller.join().unwrap());
+    assert_complete(&stream_thread.join().unwrap());
     node.kill();
 }
 
 #[test]
-fn a_stream_resumes_on_another_server_when_its_own_is_killed() {
+fn a_stream_resumes_on_another_server_after_a_crash() {
     let site = Site::start();
     let node = site.start_node();
     let address = node.caller_address();
-    let caller = thread::spawn(move || stream(address));
+    let stream_thread = thread::spawn(move || send_streamed(address));
     let busy = site.busy_engine();
     thread::sleep(Duration::from_millis(20));
     busy.crash(Duration::from_secs(60));
-    assert_whole(&caller.join().unwrap());
+    assert_complete(&stream_thread.join().unwrap());
     node.kill();
 }
 
 #[test]
-fn a_whole_answer_has_text_and_usage() {
+fn an_unstreamed_answer_has_text_and_usage() {
     let site = Site::start();
     let node = site.start_node();
     let request = post("/v1/chat/completions", chat(TOKENS, false).to_string());
@@ -78,19 +78,19 @@
 }
 
 #[test]
-fn a_drain_cuts_no_stream_and_readiness_goes_first() {
+fn a_drain_completes_running_streams_and_closes_the_listener() {
     let site = Site::start();
     let node = site.start_node();
     let address = node.caller_address();
-    let caller = thread::spawn(move || stream(address));
+    let stream_thread = thread::spawn(move || send_streamed(address));
     site.busy_engine();
     node.drain();
-    assert_whole(&caller.join().unwrap());
+    assert_complete(&stream_thread.join().unwrap());
     assert!(call(address, get("/readyz")).is_err(), "the listener is closed");
 }
 
 #[test]
-fn a_caller_that_leaves_cancels_upstream() {
+fn a_disconnected_caller_cancels_the_request_on_the_server() {
     let site = Site::start();
     let node = site.start_node();
     let request = post("/v1/chat/completions", chat(100_000, true).to_string());
@@ -106,14 +106,14 @@
 }
 
 #[test]
-fn the_watts_of_a_crashed_servers_work_come_back_before_its_time_limit() {
+fn watts_of_requests_on_a_crashed_server_are_released_before_their_time_limit() {
     let site = Site::start();
     let node = site.start_node();
     let address = node.caller_address();
-    let caller = thread::spawn(move || stream(address));
+    let stream_thread = thread::spawn(move || send_streamed(address));
     site.busy_engine().crash(Duration::from_millis(300));
-    assert_whole(&caller.join().unwrap());
-    // Figures are published each second; older ones do not count.
+    assert_complete(&stream_thread.join().unwrap());
+    // Power metrics are updated each second; skip those from before the crash.
     thread::sleep(Duration::from_secs(2));
     let deadline = Instant::now() + Duration::from_secs(20);
     loop {
--- a/tests/whole_path/caller.rs
+++ b/tests/whole_path/caller.rs
@@ -1,4 +1,4 @@
-//! Caller of a node.
+//! HTTP client of the tests, which calls a node as the workspace `survey`.
 
 use super::site::KEY;
 use bytes::Bytes;
@@ -10,10 +10,10 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-/// Bound on an answer.
+/// Timeout of an exchange.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Whole answer.
+/// Response with its body read to the end.
 pub struct Answer {
     pub status: StatusCode,
     pub headers: HeaderMap,
@@ -25,7 +25,8 @@
         serde_json::from_slice(&self.body).unwrap()
     }
 
-    /// Returns `status code run`, as errors carry them.
+    /// Returns status, error code and run state, as in `404 "unknown_path" not_run`. Asserts that
+    /// header and body have the same run state.
     pub fn summary(&self) -> String {
         let body = self.json();
         let run = self.headers.get("x-coriandertide-run").map(|run| run.to_str().unwrap());
@@ -34,7 +35,7 @@
     }
 }
 
-/// Returns a chat request of `tokens` tokens.
+/// Returns the body of a chat request with `tokens` as `max_tokens`.
 pub fn chat(tokens: u32, stream: bool) -> Value {
     json!({
         "model": "small",
@@ -88,7 +89,7 @@
     }
 }
 
-/// Returns the data of the events in an event stream.
+/// Returns the data of each event in an event stream.
 pub fn events(body: &[u8]) -> Vec<String> {
     let text = std::str::from_utf8(body).unwrap();
     text.split("\n\n")
@@ -97,13 +98,13 @@
         .collect()
 }
 
-/// Returns the text of a chat stream and whether it ended whole.
+/// Returns the text of a chat stream and whether the stream is complete.
 pub fn chat_text(body: &[u8]) -> (String, bool) {
     let events = events(body);
-    let is_whole = events.last().is_some_and(|last| last == "[DONE]");
+    let is_complete = events.last().is_some_and(|last| last == "[DONE]");
     let chunks = events.iter().filter_map(|event| serde_json::from_str::<Value>(event).ok());
     let text = chunks
         .filter_map(|chunk| chunk["choices"][0]["delta"]["content"].as_str().map(str::to_owned))
         .collect();
-    (text, is_whole)
+    (text, is_complete)
 }
--- a/tests/whole_path/claims.rs
+++ b/tests/whole_path/claims.rs
@@ -1,4 +1,5 @@
-//! Non-idempotent calls that are sent again, to other nodes, after restarts and through outages.
+//! A non-idempotent call runs at most once when its caller retries it: on several nodes, after a
+//! restart, and during failures of the platform's log.
 
 use super::caller::{Answer, call, post};
 use super::site::Site;
@@ -10,18 +11,18 @@
 use std::thread;
 use std::time::Duration;
 
-fn record(key: &str) -> Request<Full<Bytes>> {
+fn record_request(key: &str) -> Request<Full<Bytes>> {
     let mut request = post("/services/tally/records", "{\"vehicles\":12}");
     request.headers_mut().insert("idempotency-key", key.parse().unwrap());
     request
 }
 
 fn send(node: &Node, key: &str) -> Answer {
-    call(node.caller_address(), record(key)).unwrap()
+    call(node.caller_address(), record_request(key)).unwrap()
 }
 
 #[test]
-fn a_key_sent_to_all_nodes_at_once_runs_once() {
+fn concurrent_calls_with_one_key_on_all_nodes_run_once() {
     let site = Site::start();
     let nodes = [site.start_node(), site.start_node(), site.start_node()];
     let answers: Vec<Answer> = thread::scope(|scope| {
@@ -33,7 +34,7 @@
         senders.into_iter().map(|sender| sender.join().unwrap()).collect()
     });
     let answered = answers.iter().filter(|answer| answer.status.is_success()).count();
-    assert_eq!(answered, 2, "both sendings to the node that ran the call get its answer");
+    assert_eq!(answered, 2, "both calls to the node that ran the call get its answer");
     let unknown = answers.iter().filter(|answer| answer.status == 409).count();
     assert_eq!(unknown, 4);
     assert_eq!(site.service.runs().get("tally-1"), Some(&1));
@@ -43,7 +44,7 @@
 }
 
 #[test]
-fn a_restarted_node_does_not_run_a_key_again() {
+fn a_restarted_node_does_not_rerun_a_key() {
     let site = Site::start();
     let node = site.start_node();
     assert!(send(&node, "tally-1").status.is_success());
@@ -57,7 +58,7 @@
 }
 
 #[test]
-fn a_call_during_a_log_outage_is_not_run_and_runs_when_sent_again() {
+fn a_call_during_a_log_outage_is_not_run_and_runs_when_retried() {
     let site = Site::start();
     let node = site.start_node();
     site.log.set_faults(LogFaults { outage: true, ..LogFaults::default() });
--- a/tests/whole_path/main.rs
+++ b/tests/whole_path/main.rs
@@ -1,4 +1,5 @@
-//! The whole path over real sockets: a caller, a node, and stand-ins of everything behind it.
+//! End-to-end tests over real sockets: a caller, nodes, and stand-ins for the platform, the model
+//! engines and a plain service.
 
 #![allow(clippy::unwrap_used, reason = "a failed step of a test is to panic")]
 
--- a/tests/whole_path/partners.rs
+++ b/tests/whole_path/partners.rs
@@ -1,4 +1,4 @@
-//! Partner links between nodes over real sockets.
+//! Partner links between nodes: copies of the configuration, leaving servers and membership.
 
 use super::caller::{call, chat, get, post, wait_ready};
 use super::site::Site;
@@ -20,20 +20,20 @@
 }
 
 #[test]
-fn a_node_that_starts_while_the_log_is_down_serves_from_a_partners_copy() {
+fn a_node_started_during_a_log_outage_serves_with_a_partners_configuration() {
     let site = Site::start();
     let first = site.start_node();
     register(&site, "entry-0", &first);
     let body = chat(4, false).to_string();
-    let ask = |node: &Node| {
+    let send = |node: &Node| {
         call(node.caller_address(), post("/v1/chat/completions", body.clone())).unwrap()
     };
-    assert!(ask(&first).status.is_success(), "the first node is in service");
+    assert!(send(&first).status.is_success(), "the first node is in service");
     site.log.set_faults(LogFaults { outage: true, ..LogFaults::default() });
     let started_at = Instant::now();
     let second = Node::start(Settings::try_from(site.raw_settings()).unwrap()).unwrap();
     wait_ready(second.caller_address(), started_at + Duration::from_secs(20));
-    let answer = ask(&second);
+    let answer = send(&second);
     println!("first answer after {} ms", started_at.elapsed().as_millis());
     let text = String::from_utf8_lossy(&answer.body);
     assert!(answer.status.is_success(), "{text}");
@@ -41,15 +41,15 @@
     second.kill();
 }
 
-fn engine_arrivals(site: &Site) -> Vec<u64> {
+fn accepted_requests(site: &Site) -> Vec<u64> {
     site.engines.iter().map(|engine| engine.accepted_requests()).collect()
 }
 
 #[test]
-fn a_server_that_the_list_shows_as_leaving_gets_no_new_work_within_three_seconds() {
+fn a_server_listed_as_leaving_gets_no_requests_after_three_seconds() {
     let site = Site::start();
     let node = site.start_node();
-    let ask = |text: &str| {
+    let send = |text: &str| {
         let mut body = chat(2, false);
         body["messages"][0]["content"] = text.into();
         let request = post("/v1/chat/completions", body.to_string());
@@ -63,11 +63,11 @@
         state: "leaving".into(),
     });
     std::thread::sleep(Duration::from_secs(3));
-    let before = engine_arrivals(&site);
+    let before = accepted_requests(&site);
     for number in 0..20 {
-        ask(&format!("manual {number} "));
+        send(&format!("manual {number} "));
     }
-    let after = engine_arrivals(&site);
+    let after = accepted_requests(&site);
     assert_eq!(after[0], before[0]);
     assert_eq!(after[1], before[1] + 20);
     node.kill();
@@ -80,7 +80,7 @@
     line.unwrap().trim().parse().unwrap()
 }
 
-/// Waits until each node sees `live` live nodes, and returns how long that took.
+/// Waits until each node counts `live` live nodes, and returns how long that took.
 fn wait_live(nodes: &[Node], live: u64) -> Duration {
     let started_at = Instant::now();
     while nodes.iter().any(|node| metric(node, "coriandertide_live_nodes ") != live) {
@@ -92,7 +92,7 @@
 }
 
 #[test]
-fn nodes_find_each_other_and_notice_deaths_and_departures() {
+fn nodes_discover_each_other_and_detect_crashes_and_departures() {
     let site = Site::start();
     let mut nodes: Vec<Node> = (0..4).map(|_| site.start_node()).collect();
     for (index, node) in nodes.iter().enumerate() {
@@ -109,7 +109,7 @@
     wait_live(&nodes, 3);
     site.list.remove("entry-2");
     nodes.pop().unwrap().drain();
-    // A node that was not told would have to suspect the one that left first.
+    // A node that received no leave message would detect the departure by its suspicion timeout.
     let suspicion = Duration::from_millis(MembershipSettings::default().suspicion_timeout_ms);
     assert!(wait_live(&nodes, 2) < suspicion);
     for node in nodes {
--- a/tests/whole_path/poison.rs
+++ b/tests/whole_path/poison.rs
@@ -1,4 +1,5 @@
-//! A request that crashes each server that runs it is stopped after two, on every node.
+//! A request that crashes each server that runs it is refused on all nodes after two crashes, and
+//! requests on the crashed servers are still answered.
 
 use super::caller::{call, chat, get, post};
 use super::partners::register;
@@ -20,16 +21,16 @@
     call(address, post("/v1/chat/completions", body.to_string())).unwrap()
 }
 
-/// Waits until each node sees the other and has heard from it.
+/// Waits until each node counts the other as live and has received data from it.
 fn wait_linked(nodes: &[SocketAddr]) {
     let deadline = Instant::now() + Duration::from_secs(20);
     let is_linked = |node: &SocketAddr| {
         let metrics = call(*node, get("/metrics")).unwrap().body;
         let metrics = String::from_utf8_lossy(&metrics).into_owned();
-        let has_heard = metrics.lines().any(|line| {
+        let has_received = metrics.lines().any(|line| {
             line.starts_with("coriandertide_link_received_bytes_total") && !line.ends_with(" 0")
         });
-        has_heard && metrics.contains("coriandertide_live_nodes 2\n")
+        has_received && metrics.contains("coriandertide_live_nodes 2\n")
     };
     while !nodes.iter().all(is_linked) {
         assert!(Instant::now() < deadline, "the nodes do not see each other");
@@ -50,7 +51,7 @@
 }
 
 #[test]
-fn a_poison_request_is_refused_on_every_node_and_its_neighbours_are_answered() {
+fn a_poison_request_is_refused_on_all_nodes_and_other_requests_are_answered() {
     let site = Site::start_with(3, |config| config.poison_marker = Some(POISON.into()));
     let nodes = [site.start_node(), site.start_node()];
     let addresses: Vec<SocketAddr> = nodes.iter().map(|node| node.caller_address()).collect();
@@ -58,7 +59,7 @@
     register(&site, "entry-1", &nodes[1]);
     wait_linked(&addresses);
     let before: Vec<u64> = site.engines.iter().map(|e| incarnation(e.address())).collect();
-    let neighbours: Vec<_> = (0..6_usize)
+    let other_requests: Vec<_> = (0..6_usize)
         .map(|number| {
             let address = addresses[number % 2];
             let mut body = chat(100, false);
@@ -68,8 +69,8 @@
         .collect();
     let first = send(addresses[0], &poison_body());
     insta::assert_snapshot!(first.summary(), @r#"422 "poison_request" outcome_unknown"#);
-    for neighbour in neighbours {
-        let answer = neighbour.join().unwrap();
+    for request in other_requests {
+        let answer = request.join().unwrap();
         assert_eq!(answer.status.as_u16(), 200, "{}", String::from_utf8_lossy(&answer.body));
     }
     let deadline = Instant::now() + Duration::from_secs(20);
--- a/tests/whole_path/refusals.rs
+++ b/tests/whole_path/refusals.rs
@@ -1,4 +1,4 @@
-//! Requests that are refused are not run and say so.
+//! Refused requests are not run, and their errors report that.
 
 use super::caller::{call, chat, post};
 use super::site::Site;
@@ -7,7 +7,7 @@
 use serde_json::json;
 
 #[test]
-fn refused_requests_say_that_they_were_not_run() {
+fn refused_requests_report_that_they_were_not_run() {
     let site = Site::start();
     let node = site.start_node();
     let address = node.caller_address();
--- a/tests/whole_path/services.rs
+++ b/tests/whole_path/services.rs
@@ -1,11 +1,11 @@
-//! Plain services: non-idempotent calls run at most once, and the caller learns how they ended.
+//! A non-idempotent call whose answer is lost runs once, and its error reports an unknown outcome.
 
 use super::caller::{call, post};
 use super::site::Site;
 use coriandertide_standins::plain_service::PlainServiceFaults;
 
 #[test]
-fn a_lost_answer_of_a_non_idempotent_call_is_an_unknown_outcome() {
+fn a_lost_answer_of_a_non_idempotent_call_is_reported_as_unknown_outcome() {
     let site = Site::start();
     let node = site.start_node();
     let record = || {
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn a_path_written_otherwise_is_not_sent_twice() {
+fn an_equivalent_path_is_not_sent_twice() {
     let site = Site::start();
     let node = site.start_node();
     site.service.set_faults(PlainServiceFaults { lose_answers: true });
--- a/tests/whole_path/settings.rs
+++ b/tests/whole_path/settings.rs
@@ -1,9 +1,9 @@
-//! Settings are checked as a whole, and each fault is named with its path.
+//! Validation of settings reports all faults at once, each with its path.
 
 use coriandertide::settings::{RawSettings, Settings};
 
 #[test]
-fn three_mistakes_give_three_messages() {
+fn all_invalid_values_are_reported() {
     let text = r#"{
         "instance_name": "entry-1",
         "availability_zone": "",
@@ -21,13 +21,13 @@
 }
 
 #[test]
-fn an_unknown_field_is_a_fault() {
+fn an_unknown_field_is_reported() {
     let error = Settings::parse(r#"{ "zone": "couva" }"#).unwrap_err();
     assert!(error.to_string().starts_with("zone: is not a setting"), "{error}");
 }
 
 #[test]
-fn unknown_fields_and_wrong_values_are_named_together() {
+fn unknown_fields_and_invalid_values_are_reported_together() {
     let text = r#"{
         "instance_name": "entry-1",
         "zone": "couva",
--- a/tests/whole_path/site.rs
+++ b/tests/whole_path/site.rs
@@ -1,4 +1,4 @@
-//! Small site: stand-ins of the platform and two engines, and nodes in front of them.
+//! Test site: stand-ins for the platform, the model engines and a plain service.
 
 use coriandertide::daemon::Node;
 use coriandertide::decision::configuration::ConfigurationRecord;
@@ -15,8 +15,8 @@
 /// Bearer key of the workspace `survey`.
 pub const KEY: &str = "survey-key";
 
-/// Bound on waiting for a state that must come.
-const WAIT: Duration = Duration::from_secs(20);
+/// Timeout of waits.
+const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// Running site.
 pub struct Site {
@@ -32,7 +32,7 @@
         Self::start_with(2, |_config| {})
     }
 
-    /// Starts the stand-ins with `engines` engines that `adjust` has changed.
+    /// Starts the stand-ins with `engines` engines, whose configurations `adjust` may change.
     pub fn start_with(engines: usize, adjust: impl Fn(&mut EngineConfig)) -> Self {
         coriandertide::logging::init();
         let engine = |number: usize| {
@@ -100,7 +100,7 @@
     pub fn start_node(&self) -> Node {
         let settings = Settings::try_from(self.raw_settings()).unwrap();
         let node = Node::start(settings).unwrap();
-        super::caller::wait_ready(node.caller_address(), Instant::now() + WAIT);
+        super::caller::wait_ready(node.caller_address(), Instant::now() + WAIT_TIMEOUT);
         node
     }
 
@@ -122,7 +122,7 @@
 
     /// Returns the engine that runs a request now, waiting until one does.
     pub fn busy_engine(&self) -> &EngineStandIn {
-        let deadline = Instant::now() + WAIT;
+        let deadline = Instant::now() + WAIT_TIMEOUT;
         loop {
             if let Some(engine) = self.engines.iter().find(|engine| engine.running_requests() > 0) {
                 return engine;
