--- a/src/traffic/generation.rs
+++ b/src/traffic/generation.rs
@@ -24,7 +24,7 @@
 /// Delay after which a caller may retry a failed request.
 const RETRY_DELAY: Duration = Duration::from_millis(1_000);
 
-/// Time in which nodes confirm a crash and send each other the strikes.
+/// Time allowed for confirming a crash and exchanging strikes with partners.
 const STRIKE_EXCHANGE_TIME: Duration = Duration::from_millis(150);
 
 /// Token counts of a complete answer.
@@ -60,7 +60,7 @@
     /// Servers on which an attempt failed.
     excluded: Vec<ServerId>,
     frame_order: FrameOrder,
-    /// Whether a server may have acted on an attempt that failed.
+    /// Whether a server may have acted on an attempt that failed or was stopped.
     any_delivery_unknown: bool,
 }
 
@@ -107,7 +107,7 @@
         self.context.count_failure(failure);
     }
 
-    /// Returns the next item of the answer; an error is final.
+    /// Returns the next item of the answer, retrying failed attempts; a returned failure is final.
     pub async fn next_item(&mut self) -> Result<AnswerItem, Failure> {
         loop {
             if self.attempt.is_none() {
@@ -122,7 +122,7 @@
             }
             let result = self.next_frame().await?;
             match result.and_then(|frame| self.accept_frame(frame)) {
-                Ok(Some(part)) => return Ok(part),
+                Ok(Some(item)) => return Ok(item),
                 Ok(None) => {}
                 Err(error) => self.fail_attempt(&error).await?,
             }
@@ -390,6 +390,7 @@
         self.failure(FailureCode::NoServer, message)
     }
 
+    /// Returns a failure of this request; its run state follows from the attempts so far.
     fn failure(&self, code: FailureCode, message: String) -> Failure {
         let failure = if self.any_delivery_unknown || self.frame_order.next_frame() > 0 {
             Failure::outcome_unknown(code, message)
--- a/src/traffic/generation_request.rs
+++ b/src/traffic/generation_request.rs
@@ -158,9 +158,9 @@
 
 fn hash_request(workspace: &WorkspaceId, endpoint: Endpoint, body: &Bytes) -> Fingerprint {
     let mut hasher = Xxh3Default::new();
-    for part in [workspace.as_bytes(), endpoint.path().as_bytes(), body] {
-        hasher.update(&(part.len() as u64).to_le_bytes());
-        hasher.update(part);
+    for field in [workspace.as_bytes(), endpoint.path().as_bytes(), body] {
+        hasher.update(&(field.len() as u64).to_le_bytes());
+        hasher.update(field);
     }
     hasher.digest()
 }
--- a/src/traffic/handlers/claimed_call.rs
+++ b/src/traffic/handlers/claimed_call.rs
@@ -59,13 +59,13 @@
             guard.ending = run_ending(&result);
             result
         }
-        Some(ClaimVerdict::Run { .. }) => Err(not_run(NotRunReason::ClaimTimeout)),
+        Some(ClaimVerdict::Run { .. }) => Err(not_run_failure(NotRunReason::ClaimTimeout)),
         Some(ClaimVerdict::Answer(answer)) => Ok(answer.as_ref().clone()),
         Some(ClaimVerdict::NotRun { reason, retry_at }) => {
-            Err(Failure { retry_at, ..not_run(reason) })
+            Err(Failure { retry_at, ..not_run_failure(reason) })
         }
-        Some(ClaimVerdict::OutcomeUnknown(reason)) => Err(outcome_unknown(reason)),
-        None => Err(outcome_unknown(UnknownReason::UnderWay)),
+        Some(ClaimVerdict::OutcomeUnknown(reason)) => Err(outcome_unknown_failure(reason)),
+        None => Err(outcome_unknown_failure(UnknownReason::UnderWay)),
     }
 }
 
@@ -82,9 +82,9 @@
 
 fn hash_call(call: &ServiceCall) -> Fingerprint {
     let mut hasher = Xxh3::new();
-    for part in [call.method.as_str().as_bytes(), call.path.as_bytes(), &call.body] {
-        hasher.update(&(part.len() as u64).to_le_bytes());
-        hasher.update(part);
+    for field in [call.method.as_str().as_bytes(), call.path.as_bytes(), &call.body] {
+        hasher.update(&(field.len() as u64).to_le_bytes());
+        hasher.update(field);
     }
     hasher.digest()
 }
@@ -99,7 +99,7 @@
     }
 }
 
-fn not_run(reason: NotRunReason) -> Failure {
+fn not_run_failure(reason: NotRunReason) -> Failure {
     let code = match reason {
         NotRunReason::KeyFromFuture => FailureCode::InvalidKey,
         NotRunReason::KeyReused => FailureCode::KeyAlreadyUsed,
@@ -113,7 +113,7 @@
     Failure::not_run(code, format!("the call was not run: {reason}"))
 }
 
-fn outcome_unknown(reason: UnknownReason) -> Failure {
+fn outcome_unknown_failure(reason: UnknownReason) -> Failure {
     let code = match reason {
         UnknownReason::KeyTooOld => FailureCode::InvalidKey,
         UnknownReason::ClaimedElsewhere
@@ -138,7 +138,7 @@
         let (reply, verdict_receiver) = async_channel::bounded(1);
         let key = request.key;
         if !context.send_claims_message(ClaimsMessage::Begin { request, reply }) {
-            return Err(not_run(NotRunReason::Overloaded));
+            return Err(not_run_failure(NotRunReason::Overloaded));
         }
         Ok(Self { context, key, verdict_receiver, claim: None, ending: RunEnding::NotRun })
     }
--- a/tests/whole_path/poison.rs
+++ b/tests/whole_path/poison.rs
@@ -45,7 +45,7 @@
         if let Ok(answer) = call(engine, get("/load")) {
             return answer.json()["incarnation"].as_u64().unwrap();
         }
-        assert!(Instant::now() < deadline, "the engine does not come back");
+        assert!(Instant::now() < deadline, "the engine does not restart");
         thread::sleep(Duration::from_millis(20));
     }
 }
