--- a/src/traffic/handlers/text_generation.rs
+++ b/src/traffic/handlers/text_generation.rs
@@ -46,11 +46,11 @@
     let permit = admit(&context, &request, &snapshot).await?;
     let generation = Generation::new(context, request, is_suspect).await;
     let mut running = RunningRequest { generation, _permit: permit };
-    let first_item = running.generation.next_item().await?;
+    let first = running.generation.next_item().await?;
     if running.generation.request().stream {
-        return Ok(stream_reply(running, first_item));
+        return Ok(stream_reply(running, first));
     }
-    complete_reply(running, first_item, limits.answer_bytes).await
+    complete_reply(running, first, limits.answer_bytes).await
 }
 
 /// Generation with its admission permit, which is released when the answer ends.
@@ -104,8 +104,8 @@
     Ended,
 }
 
-fn stream_reply(running: RunningRequest, first_item: AnswerItem) -> Reply {
-    let state = StreamState::Ready(Box::new(running), first_item);
+fn stream_reply(running: RunningRequest, first: AnswerItem) -> Reply {
+    let state = StreamState::Ready(Box::new(running), first);
     event_stream_reply(stream::unfold(state, next_event))
 }
 
@@ -154,13 +154,13 @@
 
 async fn complete_reply(
     running: RunningRequest,
-    first_item: AnswerItem,
+    first: AnswerItem,
     limit_bytes: usize,
 ) -> Result<Reply, Failure> {
     let RunningRequest { mut generation, _permit } = running;
     let mut text = String::new();
     let mut finish_reason = Value::Null;
-    let mut item = first_item;
+    let mut item = first;
     let usage = loop {
         match item {
             AnswerItem::End(usage) => break usage,
--- a/src/traffic/suspect_gate.rs
+++ b/src/traffic/suspect_gate.rs
@@ -43,8 +43,8 @@
     let all = document.servers.keys();
     let servers: Vec<&ServerId> = all.filter(|server| !query.excluded.contains(server)).collect();
     let stride = (servers.len() / snapshot.live_nodes.max(1) as usize).max(1);
-    let start = snapshot.node_rank as usize * stride;
-    let mut rotated = (0..servers.len()).map(|offset| servers[(start + offset) % servers.len()]);
+    let first = snapshot.node_rank as usize * stride;
+    let mut rotated = (0..servers.len()).map(|offset| servers[(first + offset) % servers.len()]);
     rotated.find_map(|chosen| {
         let mut query = query.clone();
         let others = document.servers.keys().filter(|server| *server != chosen);
