--- a/src/control/event.rs
+++ b/src/control/event.rs
@@ -101,10 +101,10 @@
         /// Report.
         report: LoadReport,
         /// When the request was sent.
-        asked_at: Instant,
+        requested_at: Instant,
     },
     /// A server broke off an answer, perhaps since it crashed.
-    AttemptCut {
+    AnswerInterrupted {
         /// Server.
         server: ServerId,
         /// Incarnation of the server, if it had named one.
@@ -113,7 +113,7 @@
         fingerprint: Fingerprint,
     },
     /// A request that may crash servers ran to its end.
-    Exonerated(Fingerprint),
+    SuspectCompleted(Fingerprint),
     /// A record was appended to the configuration stream.
     ConfigurationAppended,
     /// An attempt on a server failed.
--- a/src/control/links.rs
+++ b/src/control/links.rs
@@ -8,7 +8,9 @@
 };
 use crate::decision::power::PowerEvent;
 use crate::links::connection::ReceivedMessage;
-use crate::links::{Identity, Link, LinkEnd, LinkTable, OpenLink, Outbox, PartnerMessage, Sent};
+use crate::links::{
+    Identity, Link, LinkEnd, LinkHandle, LinkTable, Outbox, PartnerMessage, SendOutcome,
+};
 use crate::metrics::Metrics;
 use crate::types::{InstanceId, PeerError};
 use async_channel::Sender;
@@ -83,7 +85,7 @@
     /// Returns the links of a node that has just started and listens for partners on `address`.
     pub fn new(context: &ControlContext, address: SocketAddr, now: Instant) -> Self {
         let settings = &context.settings;
-        let identity = Identity::of_new_run(
+        let identity = Identity::new(
             settings.partner_key.clone(),
             context.instance.clone(),
             address,
@@ -91,7 +93,10 @@
         );
         let rate_per_s = f64::from(settings.control.link_bytes_per_s);
         Self {
-            membership: MembershipState::new(identity.me.clone(), MembershipSettings::default()),
+            membership: MembershipState::new(
+                identity.record.clone(),
+                MembershipSettings::default(),
+            ),
             metrics: context.metrics.clone(),
             identity: Rc::new(RefCell::new(identity)),
             numbers: Rc::default(),
@@ -127,12 +132,12 @@
     /// Sends a message at once, outside the byte budget; returns whether it was sent.
     pub(super) fn send(&mut self, to: &InstanceId, message: &PartnerMessage) -> bool {
         match self.links.send(to, message) {
-            Sent::Sent(size_bytes) => {
+            SendOutcome::Sent(size_bytes) => {
                 self.metrics.link_sent_bytes.inc_by(size_bytes as u64);
                 return true;
             }
-            Sent::Impossible => {}
-            Sent::Dropped => {
+            SendOutcome::Undeliverable => {}
+            SendOutcome::Dropped => {
                 self.metrics.link_dropped_messages.inc();
             }
         }
@@ -159,7 +164,7 @@
 
     fn add(&mut self, opened: &OpenedLink) -> bool {
         let peer = &opened.peer.instance;
-        let link = OpenLink {
+        let link = LinkHandle {
             number: opened.number,
             dialed: opened.dialed,
             outgoing: opened.outgoing.clone(),
@@ -232,7 +237,7 @@
     fn end_link(&mut self, link: u64, end: &LinkEnd, now: Instant) {
         let Some(peer) = self.links.links.peer(link).cloned() else { return };
         let graceful = match end {
-            LinkEnd::InOrder => true,
+            LinkEnd::Closed => true,
             LinkEnd::Broken(error) => {
                 log::warn!("event=link_broken peer={peer} error=\"{error:#}\"");
                 false
@@ -263,7 +268,7 @@
                 }
             }
         }
-        self.links.identity.borrow_mut().me = self.links.membership.local_record().clone();
+        self.links.identity.borrow_mut().record = self.links.membership.local_record().clone();
         self.note_live_nodes(now);
     }
 
--- a/src/control/mod.rs
+++ b/src/control/mod.rs
@@ -27,7 +27,7 @@
 pub use claims::ClaimsMessage;
 pub use context::ControlContext;
 pub use event::{ControlEvent, TrafficReport};
-pub use snapshot::{KeyIndex, Snapshot};
+pub use snapshot::{ApiKeyIndex, Snapshot};
 pub use state::ControlState;
 
 use async_channel::Receiver;
--- a/src/control/snapshot.rs
+++ b/src/control/snapshot.rs
@@ -15,7 +15,7 @@
     /// Document in force, none before the first one is known.
     pub document: Option<Arc<Document>>,
     /// Workspaces by key hash.
-    pub keys: Arc<KeyIndex>,
+    pub api_keys: Arc<ApiKeyIndex>,
     /// View for routing decisions.
     pub routing: RoutingView,
     /// Strikes of requests that crashed servers.
@@ -30,11 +30,11 @@
 
 /// Workspaces by the hash of their bearer keys.
 #[derive(Clone, Debug, Default)]
-pub struct KeyIndex {
+pub struct ApiKeyIndex {
     workspaces: HashMap<SmolStr, WorkspaceId>,
 }
 
-impl KeyIndex {
+impl ApiKeyIndex {
     /// Returns the index of `document`.
     pub fn new(document: &Document) -> Self {
         let pairs = document.workspaces.iter().flat_map(|(name, workspace)| {
--- a/src/control/state.rs
+++ b/src/control/state.rs
@@ -6,7 +6,7 @@
 use super::partners::PartnerExchange;
 use super::power::PowerControl;
 use super::routing::RoutingPolls;
-use super::snapshot::KeyIndex;
+use super::snapshot::ApiKeyIndex;
 use super::{
     ControlContext, ControlEvent, Snapshot, TrafficReport, link_listener, log_tail, polls,
 };
@@ -38,7 +38,7 @@
     pub(super) routing_polls: RoutingPolls,
     pub(super) poison: PoisonState,
     pub(super) document: Option<Arc<Document>>,
-    pub(super) keys: Arc<KeyIndex>,
+    pub(super) api_keys: Arc<ApiKeyIndex>,
     pub(super) live_nodes: u32,
     pub(super) admin: Arc<AdminView>,
     pub(super) node_rank: u32,
@@ -81,7 +81,7 @@
             routing_polls: RoutingPolls::new(&settings.control),
             poison: PoisonState::default(),
             document: None,
-            keys: Arc::default(),
+            api_keys: Arc::default(),
             live_nodes: 1,
             admin: Arc::default(),
             node_rank: 0,
@@ -172,7 +172,7 @@
     /// Puts `document` in force.
     pub fn put_in_force(&mut self, document: Arc<Document>, now: Instant) {
         log::info!("event=document_in_force offset={}", document.offset);
-        self.keys = Arc::new(KeyIndex::new(&document));
+        self.api_keys = Arc::new(ApiKeyIndex::new(&document));
         self.routing.apply(RoutingEvent::Document(Arc::clone(&document)), now);
         self.placement.apply(PlacementEvent::Document(Arc::clone(&document)), now);
         self.advance_power(PowerEvent::Document(Arc::clone(&document)), now);
@@ -202,16 +202,16 @@
                 self.place_by_answer(&feedback, now);
                 RoutingEvent::Answer(feedback)
             }
-            TrafficReport::Load { server, report, asked_at } => {
+            TrafficReport::Load { server, report, requested_at } => {
                 self.routing_polls.planner.postpone_load_poll(&server, now);
-                RoutingEvent::Load { server, report, asked_at }
+                RoutingEvent::Load { server, report, asked_at: requested_at }
             }
             TrafficReport::AttemptFailed { server } => RoutingEvent::ServerFailed { server },
-            TrafficReport::AttemptCut { server, incarnation, fingerprint } => {
+            TrafficReport::AnswerInterrupted { server, incarnation, fingerprint } => {
                 return self.check_crash(server, incarnation, fingerprint);
             }
             TrafficReport::ConfigurationAppended => return self.read_configuration(),
-            TrafficReport::Exonerated(fingerprint) => {
+            TrafficReport::SuspectCompleted(fingerprint) => {
                 return self.poison.clear_strikes(fingerprint);
             }
         };
@@ -229,7 +229,7 @@
     fn publish(&self) {
         self.snapshot.store(Arc::new(Snapshot {
             document: self.document.clone(),
-            keys: Arc::clone(&self.keys),
+            api_keys: Arc::clone(&self.api_keys),
             routing: self.routing.view(),
             poison: self.poison.view(),
             live_nodes: self.live_nodes,
--- a/src/links/connection.rs
+++ b/src/links/connection.rs
@@ -1,7 +1,7 @@
 //! Connections of partner links: opening, authentication, and the exchange of messages.
 
-use super::MESSAGE_LIMIT_BYTES;
-use super::handshake::{Challenge, Identity, LINK_PROTOCOL, Proof, Side, fresh_nonce};
+use super::MAX_MESSAGE_BYTES;
+use super::handshake::{Challenge, Identity, LINK_PROTOCOL_VERSION, Proof, Side, fresh_nonce};
 use super::message::{DecodedMessage, PartnerMessage};
 use crate::adapters::deadline::within;
 use crate::decision::membership::MemberRecord;
@@ -55,7 +55,7 @@
 #[derive(Debug)]
 pub enum LinkEnd {
     /// Either side closed it in good order.
-    InOrder,
+    Closed,
     /// It broke, or the peer sent what is no message.
     Broken(anyhow::Error),
 }
@@ -87,7 +87,7 @@
     let (mut socket, _response) =
         tokio_tungstenite::client_async_with_config(url, stream.compat(), Some(config())).await?;
     let challenge: Challenge = receive(&mut socket).await?;
-    ensure!(challenge.protocol == LINK_PROTOCOL, "protocol {}", challenge.protocol);
+    ensure!(challenge.protocol == LINK_PROTOCOL_VERSION, "protocol {}", challenge.protocol);
     let nonce = fresh_nonce()?;
     send(&mut socket, &Proof::new(identity, Side::Dialer, &challenge, nonce)).await?;
     let proof: Proof = receive(&mut socket).await?;
@@ -112,8 +112,8 @@
     WebSocketConfig::default()
         .read_buffer_size(8 * 1024)
         .write_buffer_size(0)
-        .max_message_size(Some(MESSAGE_LIMIT_BYTES))
-        .max_frame_size(Some(MESSAGE_LIMIT_BYTES))
+        .max_message_size(Some(MAX_MESSAGE_BYTES))
+        .max_frame_size(Some(MAX_MESSAGE_BYTES))
 }
 
 async fn send(socket: &mut Socket, message: &impl Serialize) -> anyhow::Result<()> {
@@ -154,17 +154,17 @@
             }
             let deadline = Instant::now() + CLOSE_TIMEOUT;
             let _closed = within(deadline, sink.close()).await;
-            LinkEnd::InOrder
+            LinkEnd::Closed
         };
         let read = async {
             loop {
                 match read_message(stream.next().await) {
                     Ok(Some(message)) => {
                         if incoming.send(message).await.is_err() {
-                            return LinkEnd::InOrder;
+                            return LinkEnd::Closed;
                         }
                     }
-                    Ok(None) => return LinkEnd::InOrder,
+                    Ok(None) => return LinkEnd::Closed,
                     Err(error) => return LinkEnd::Broken(error),
                 }
             }
@@ -185,7 +185,7 @@
     };
     let message = match PartnerMessage::decode(&bytes)? {
         DecodedMessage::Known(message) => Some(message),
-        DecodedMessage::Newer => None,
+        DecodedMessage::UnknownKind => None,
     };
     Ok(Some(ReceivedMessage { message, bytes: bytes.len() + FRAME_OVERHEAD_BYTES }))
 }
--- a/src/links/handshake.rs
+++ b/src/links/handshake.rs
@@ -11,7 +11,7 @@
 use std::time::{SystemTime, UNIX_EPOCH};
 
 /// Version of the link protocol.
-pub const LINK_PROTOCOL: u32 = 1;
+pub const LINK_PROTOCOL_VERSION: u32 = 1;
 
 /// Bytes of a block of SHA-256.
 const BLOCK_BYTES: usize = 64;
@@ -25,19 +25,19 @@
     /// Shared key.
     pub key: SmolStr,
     /// Record of the node.
-    pub me: MemberRecord,
+    pub record: MemberRecord,
 }
 
 impl Identity {
     /// Returns the identity of a run that starts now and listens for partners on `address`.
-    pub fn of_new_run(
+    pub fn new(
         key: SmolStr,
         instance: InstanceId,
         address: SocketAddr,
         availability_zone: AvailabilityZone,
     ) -> Self {
         let started = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        let me = MemberRecord {
+        let record = MemberRecord {
             instance,
             address,
             availability_zone,
@@ -45,7 +45,7 @@
             version: 0,
             status: MemberStatus::Alive,
         };
-        Self { key, me }
+        Self { key, record }
     }
 }
 
@@ -81,14 +81,14 @@
 impl Challenge {
     /// Returns a challenge with a fresh nonce.
     pub fn new() -> anyhow::Result<Self> {
-        Ok(Self { protocol: LINK_PROTOCOL, nonce: fresh_nonce()? })
+        Ok(Self { protocol: LINK_PROTOCOL_VERSION, nonce: fresh_nonce()? })
     }
 }
 
 impl Proof {
     /// Returns the proof of `identity` for its `side`.
     pub fn new(identity: &Identity, side: Side, challenge: &Challenge, nonce: u128) -> Self {
-        let member = identity.me.clone();
+        let member = identity.record.clone();
         let hash = proof_hash(&identity.key, side, challenge, nonce, &member);
         Self { nonce, member, hash }
     }
--- a/src/links/message.rs
+++ b/src/links/message.rs
@@ -98,7 +98,7 @@
     /// Message of a known kind.
     Known(PartnerMessage),
     /// Message of a kind that a newer build has added.
-    Newer,
+    UnknownKind,
 }
 
 impl PartnerMessage {
@@ -118,7 +118,7 @@
         let value: Value = ciborium::from_reader(bytes)?;
         let kind = value.as_map().and_then(|map| map.first()).and_then(|(kind, _)| kind.as_text());
         match kind {
-            Some(kind) if !Self::VARIANTS.contains(&kind) => Ok(DecodedMessage::Newer),
+            Some(kind) if !Self::VARIANTS.contains(&kind) => Ok(DecodedMessage::UnknownKind),
             _ => Err(error.into()),
         }
     }
--- a/src/links/mod.rs
+++ b/src/links/mod.rs
@@ -7,10 +7,10 @@
 pub mod table;
 
 pub use connection::{Link, LinkEnd, accept, dial};
-pub use handshake::{Identity, LINK_PROTOCOL};
+pub use handshake::{Identity, LINK_PROTOCOL_VERSION};
 pub use message::{DecodedMessage, PartnerMessage};
 pub use outbox::Outbox;
-pub use table::{LinkTable, OpenLink, Sent};
+pub use table::{LinkHandle, LinkTable, SendOutcome};
 
 /// Most bytes of a message, sent or received.
-pub const MESSAGE_LIMIT_BYTES: usize = 1024 * 1024;
+pub const MAX_MESSAGE_BYTES: usize = 1024 * 1024;
--- a/src/links/table.rs
+++ b/src/links/table.rs
@@ -1,7 +1,7 @@
 //! Open links of a node, by peer and by number.
 
 use super::connection::FRAME_OVERHEAD_BYTES;
-use super::{MESSAGE_LIMIT_BYTES, PartnerMessage};
+use super::{MAX_MESSAGE_BYTES, PartnerMessage};
 use crate::types::InstanceId;
 use async_channel::Sender;
 use bytes::Bytes;
@@ -9,7 +9,7 @@
 
 /// Open link.
 #[derive(Debug)]
-pub struct OpenLink {
+pub struct LinkHandle {
     /// Number of the link within this run.
     pub number: u64,
     /// Whether this node dialed.
@@ -20,11 +20,11 @@
 
 /// What became of a message.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Sent {
+pub enum SendOutcome {
     /// The connection takes it; its bytes with the frame.
     Sent(usize),
     /// There is no link to the peer, or the message is too large for one.
-    Impossible,
+    Undeliverable,
     /// The connection has no room for it.
     Dropped,
 }
@@ -32,7 +32,7 @@
 /// Open links.
 #[derive(Debug, Default)]
 pub struct LinkTable {
-    links: BTreeMap<InstanceId, OpenLink>,
+    links: BTreeMap<InstanceId, LinkHandle>,
     /// Peer of each link's number.
     peers: BTreeMap<u64, InstanceId>,
 }
@@ -40,7 +40,7 @@
 impl LinkTable {
     /// Adds a link of `me` to `peer` and returns whether it stays: of two links to one peer, that of
     /// the dialer with the lower id does.
-    pub fn add(&mut self, me: &InstanceId, peer: &InstanceId, link: OpenLink) -> bool {
+    pub fn add(&mut self, me: &InstanceId, peer: &InstanceId, link: LinkHandle) -> bool {
         if peer == me {
             return false;
         }
@@ -64,7 +64,7 @@
     }
 
     /// Returns the link to `peer`.
-    pub fn get(&self, peer: &InstanceId) -> Option<&OpenLink> {
+    pub fn get(&self, peer: &InstanceId) -> Option<&LinkHandle> {
         self.links.get(peer)
     }
 
@@ -79,17 +79,17 @@
     }
 
     /// Sends a message to `peer` at once.
-    pub fn send(&self, peer: &InstanceId, message: &PartnerMessage) -> Sent {
-        let Some(link) = self.links.get(peer) else { return Sent::Impossible };
+    pub fn send(&self, peer: &InstanceId, message: &PartnerMessage) -> SendOutcome {
+        let Some(link) = self.links.get(peer) else { return SendOutcome::Undeliverable };
         let bytes = message.encode();
         let size_bytes = bytes.len() + FRAME_OVERHEAD_BYTES;
-        if bytes.len() > MESSAGE_LIMIT_BYTES {
+        if bytes.len() > MAX_MESSAGE_BYTES {
             log::error!("event=link_message_too_large peer={peer} kind={}", message.kind());
-            return Sent::Impossible;
+            return SendOutcome::Undeliverable;
         }
         match link.outgoing.try_send(bytes) {
-            Ok(()) => Sent::Sent(size_bytes),
-            Err(_) => Sent::Dropped,
+            Ok(()) => SendOutcome::Sent(size_bytes),
+            Err(_) => SendOutcome::Dropped,
         }
     }
 }
--- a/src/relay/control/partners.rs
+++ b/src/relay/control/partners.rs
@@ -10,7 +10,7 @@
 use crate::links::connection::ReceivedMessage;
 use crate::links::message::TopicDigest;
 use crate::links::{
-    Identity, Link, LinkEnd, LinkTable, MESSAGE_LIMIT_BYTES, OpenLink, PartnerMessage, Sent,
+    Identity, Link, LinkEnd, LinkHandle, LinkTable, MAX_MESSAGE_BYTES, PartnerMessage, SendOutcome,
 };
 use crate::ports::AnnouncedNode;
 use crate::relay::RelayContext;
@@ -41,7 +41,7 @@
 const ACCEPT_RETRY: Duration = Duration::from_millis(50);
 
 /// Bytes of keyed records in one message at most.
-const PART_BYTES: usize = MESSAGE_LIMIT_BYTES / 2;
+const PART_BYTES: usize = MAX_MESSAGE_BYTES / 2;
 
 /// Links and membership.
 pub(super) struct Partners {
@@ -68,7 +68,7 @@
         address: SocketAddr,
         now: Instant,
     ) -> Self {
-        let identity = Identity::of_new_run(
+        let identity = Identity::new(
             context.settings.partner_key.clone(),
             instance,
             address,
@@ -76,7 +76,7 @@
         );
         let settings = MembershipSettings { redial_delay_ms: 300, ..MembershipSettings::default() };
         Self {
-            membership: MembershipState::new(identity.me.clone(), settings),
+            membership: MembershipState::new(identity.record.clone(), settings),
             identity: Rc::new(RefCell::new(identity)),
             links: LinkTable::default(),
             live: Vec::new(),
@@ -118,7 +118,7 @@
 
     /// Sends a message to a partner.
     pub(super) fn send(&self, to: &InstanceId, message: &PartnerMessage) {
-        if self.links.send(to, message) == Sent::Dropped {
+        if self.links.send(to, message) == SendOutcome::Dropped {
             log::warn!("event=link_message_dropped peer={to} kind={}", message.kind());
         }
     }
@@ -155,7 +155,7 @@
         now: Instant,
     ) {
         let own = &self.partners.membership.local_record().instance;
-        let link = OpenLink { number, dialed, outgoing };
+        let link = LinkHandle { number, dialed, outgoing };
         if !self.partners.links.add(own, &peer.instance, link) {
             return;
         }
@@ -203,7 +203,7 @@
     pub(super) fn end_link(&mut self, number: u64, end: &LinkEnd, now: Instant) {
         let Some(peer) = self.partners.links.peer(number).cloned() else { return };
         let graceful = match end {
-            LinkEnd::InOrder => true,
+            LinkEnd::Closed => true,
             LinkEnd::Broken(error) => {
                 log::warn!("event=link_broken peer={peer} error=\"{error:#}\"");
                 false
@@ -320,7 +320,8 @@
                 }
             }
         }
-        self.partners.identity.borrow_mut().me = self.partners.membership.local_record().clone();
+        self.partners.identity.borrow_mut().record =
+            self.partners.membership.local_record().clone();
         self.note_nodes();
     }
 
--- a/src/traffic/attempt.rs
+++ b/src/traffic/attempt.rs
@@ -59,8 +59,8 @@
     pub fn run(&mut self, answer: EngineAnswer) -> Option<TrafficReport> {
         let EngineAnswer { incarnation, load, frames } = answer;
         self.answer = Some(RunningAnswer { incarnation, frames });
-        let (server, asked_at) = (self.decision.server.clone(), self.sent_at);
-        load.map(|report| TrafficReport::Load { server, report, asked_at })
+        let (server, requested_at) = (self.decision.server.clone(), self.sent_at);
+        load.map(|report| TrafficReport::Load { server, report, requested_at })
     }
 
     /// Returns the choice of the server.
--- a/src/traffic/authenticate.rs
+++ b/src/traffic/authenticate.rs
@@ -11,7 +11,7 @@
     let refused =
         || Failure::not_run(FailureCode::InvalidApiKey, "the bearer key is missing or not known");
     let key = bearer_key(headers).ok_or_else(refused)?;
-    snapshot.keys.workspace(&hash_key(key)).cloned().ok_or_else(refused)
+    snapshot.api_keys.workspace(&hash_key(key)).cloned().ok_or_else(refused)
 }
 
 /// Returns the bearer key that `headers` carry.
--- a/src/traffic/generation.rs
+++ b/src/traffic/generation.rs
@@ -302,7 +302,7 @@
             timing,
         }));
         if self.suspect_slot.is_some() {
-            self.context.report(TrafficReport::Exonerated(self.request.fingerprint));
+            self.context.report(TrafficReport::SuspectCompleted(self.request.fingerprint));
         }
     }
 
@@ -357,7 +357,7 @@
     /// could be confirmed and partners could tell their strikes.
     async fn check_cut(&mut self, server: ServerId, incarnation: Option<Incarnation>) -> Suspicion {
         let fingerprint = self.request.fingerprint;
-        self.context.report(TrafficReport::AttemptCut { server, incarnation, fingerprint });
+        self.context.report(TrafficReport::AnswerInterrupted { server, incarnation, fingerprint });
         Timer::after(STRIKE_EXCHANGE).await;
         self.context.snapshot.load().poison.suspicion(fingerprint, Instant::now())
     }
--- a/tests/together/links.rs
+++ b/tests/together/links.rs
@@ -14,7 +14,7 @@
 use std::fmt::Write;
 
 fn identity(name: &str, key: &str) -> Identity {
-    let me = MemberRecord {
+    let record = MemberRecord {
         instance: name.into(),
         address: "127.0.0.1:9".parse().unwrap(),
         availability_zone: "couva".into(),
@@ -22,7 +22,7 @@
         version: 0,
         status: MemberStatus::Alive,
     };
-    Identity { key: key.into(), me }
+    Identity { key: key.into(), record }
 }
 
 /// Results of opening a link, one for each end.
@@ -92,7 +92,7 @@
         links.listener.unwrap().run(listener_queue, incoming),
     ));
     drop(to_dialer);
-    assert!(matches!(ends, (LinkEnd::InOrder, LinkEnd::InOrder)), "{ends:?}");
+    assert!(matches!(ends, (LinkEnd::Closed, LinkEnd::Closed)), "{ends:?}");
     assert_eq!(received.try_recv().unwrap().message, None);
     assert_eq!(received.try_recv().unwrap().message, Some(request));
 }
@@ -102,13 +102,13 @@
     assert!(PartnerMessage::decode(b"\xff").is_err());
     assert!(PartnerMessage::decode(b"\xa1\x67members\x01").is_err());
     let novel = PartnerMessage::decode(b"\xa1\x65novel\x01").unwrap();
-    assert_eq!(novel, DecodedMessage::Newer);
+    assert_eq!(novel, DecodedMessage::UnknownKind);
 }
 
 #[test]
 fn outbox_sends_by_priority_and_only_the_latest_member_record() {
     let mut outbox = Outbox::default();
-    let member = |version| MemberRecord { version, ..identity("a", "key").me };
+    let member = |version| MemberRecord { version, ..identity("a", "key").record };
     outbox.add_members([member(1)]);
     outbox.add_members([member(2)]);
     let strike = Strike { fingerprint: 1, server: "engine".into(), incarnation: 1 };
