--- a/src/control/mod.rs
+++ b/src/control/mod.rs
@@ -17,10 +17,10 @@
 pub mod partners;
 pub mod placement;
 pub mod poison;
-pub mod polls;
+pub mod poll_tasks;
 pub mod power;
 pub mod republish;
-pub mod routing;
+pub mod server_polls;
 pub mod snapshot;
 pub mod state;
 
--- a/src/control/partners.rs
+++ b/src/control/partners.rs
@@ -144,7 +144,7 @@
     pub(super) fn tick_leaving(&mut self, now: Instant) {
         self.advance_leaving(None, LeavingEvent::Tick, now);
         for server in self.leaving.leaving_servers() {
-            self.routing_polls.planner.mark_used(&server, now);
+            self.server_polls.planner.mark_used(&server, now);
         }
     }
 
--- a/src/control/placement.rs
+++ b/src/control/placement.rs
@@ -1,6 +1,6 @@
 //! Placement: gives the orders that the decision plans, while this node holds the lease.
 
-use super::{ControlContext, ControlEvent, ControlState, polls};
+use super::{ControlContext, ControlEvent, ControlState, poll_tasks};
 use crate::decision::leases::{HeldLease, LeaseKind};
 use crate::decision::placement::{PlacementCommand, PlacementEvent, PlacementReason};
 use crate::decision::routing::AnswerFeedback;
@@ -28,7 +28,11 @@
         for command in self.placement.apply(PlacementEvent::Tick(held), now) {
             match command {
                 PlacementCommand::Poll { server, address } => {
-                    self.context.spawn(polls::poll_load(self.context.clone(), server, address));
+                    self.context.spawn(poll_tasks::poll_load(
+                        self.context.clone(),
+                        server,
+                        address,
+                    ));
                 }
                 PlacementCommand::Order { server, address, order, reason } => {
                     let Some(held) = held else { continue };
--- a/src/control/routing.rs
+++ b/src/control/server_polls.rs
@@ -1,6 +1,6 @@
 //! Load reports, cache events and kept prefixes: asked for within a byte budget.
 
-use super::{ControlState, polls};
+use super::{ControlState, poll_tasks};
 use crate::decision::routing::{
     PollConfig, PollKind, PollPlanner, PollRequest, RoutingEvent, SentRequest,
 };
@@ -25,11 +25,11 @@
 const KEPT_QUERY_KEYS: usize = 32;
 
 /// Plan of the polls.
-pub struct RoutingPolls {
+pub struct ServerPolls {
     pub(super) planner: PollPlanner,
 }
 
-impl RoutingPolls {
+impl ServerPolls {
     /// Returns a plan without servers.
     pub fn new(settings: &ControlSettings) -> Self {
         let config = PollConfig {
@@ -47,12 +47,12 @@
     pub(super) fn poll_servers(&mut self, now: Instant) {
         let Some(document) = self.document.clone() else { return };
         if document.servers.len() <= SMALL_SITE_SERVERS {
-            document.servers.keys().for_each(|id| self.routing_polls.planner.mark_used(id, now));
+            document.servers.keys().for_each(|id| self.server_polls.planner.mark_used(id, now));
         }
-        for poll in self.routing_polls.planner.plan(now) {
+        for poll in self.server_polls.planner.plan(now) {
             match document.servers.get(&poll.server) {
                 Some(server) => self.send_poll(poll, server.address),
-                None => self.routing_polls.planner.remove_server(&poll.server),
+                None => self.server_polls.planner.remove_server(&poll.server),
             }
         }
         if self.context.kv_store.is_none() {
@@ -60,13 +60,13 @@
         }
         let keys = self.routing.take_store_queries(KEPT_QUERY_KEYS);
         if !keys.is_empty() {
-            self.context.spawn(polls::poll_kept_prefixes(self.context.clone(), keys));
+            self.context.spawn(poll_tasks::poll_kept_prefixes(self.context.clone(), keys));
         }
     }
 
     /// Takes in that traffic uses a server and may use another next.
     pub(super) fn note_sent(&mut self, sent: &SentRequest, now: Instant) {
-        let planner = &mut self.routing_polls.planner;
+        let planner = &mut self.server_polls.planner;
         planner.mark_used(&sent.server, now);
         sent.runner_up.iter().for_each(|server| planner.mark_used(server, now));
     }
@@ -112,16 +112,18 @@
 
     fn settle_poll(&mut self, server: &ServerId, kind: PollKind, bytes: usize) {
         let poll = PollRequest { server: server.clone(), kind };
-        self.routing_polls.planner.complete(&poll, HEAD_BYTES + bytes);
+        self.server_polls.planner.complete(&poll, HEAD_BYTES + bytes);
     }
 
     fn send_poll(&mut self, poll: PollRequest, address: std::net::SocketAddr) {
         let context = self.context.clone();
         match poll.kind {
-            PollKind::Load => self.context.spawn(polls::poll_load(context, poll.server, address)),
+            PollKind::Load => {
+                self.context.spawn(poll_tasks::poll_load(context, poll.server, address))
+            }
             PollKind::CacheEvents => {
                 let from = self.routing.next_event_sequence(&poll.server, PAGE_EVENTS);
-                let task = polls::poll_cache_events(context, poll.server, address, from);
+                let task = poll_tasks::poll_cache_events(context, poll.server, address, from);
                 self.context.spawn(task);
             }
         }
--- a/src/control/state.rs
+++ b/src/control/state.rs
@@ -5,10 +5,10 @@
 use super::links::LinksControl;
 use super::partners::PartnerExchange;
 use super::power::PowerControl;
-use super::routing::RoutingPolls;
+use super::server_polls::ServerPolls;
 use super::snapshot::ApiKeyIndex;
 use super::{
-    ControlContext, ControlEvent, Snapshot, TrafficReport, link_listener, log_tail, polls,
+    ControlContext, ControlEvent, Snapshot, TrafficReport, link_listener, log_tail, poll_tasks,
 };
 use crate::admin::AdminView;
 use crate::decision::configuration::{ConfigurationFollower, SnapshotSchedule};
@@ -35,7 +35,7 @@
     pub(super) configuration: ConfigurationFollower,
     pub(super) configuration_read: ConfigurationRead,
     pub(super) routing: RoutingState,
-    pub(super) routing_polls: RoutingPolls,
+    pub(super) server_polls: ServerPolls,
     pub(super) poison: PoisonState,
     pub(super) document: Option<Arc<Document>>,
     pub(super) api_keys: Arc<ApiKeyIndex>,
@@ -78,7 +78,7 @@
             configuration: ConfigurationFollower::default(),
             configuration_read: ConfigurationRead::default(),
             routing: RoutingState::new(policy, zone, RoutingConfig::default()),
-            routing_polls: RoutingPolls::new(&settings.control),
+            server_polls: ServerPolls::new(&settings.control),
             poison: PoisonState::default(),
             document: None,
             api_keys: Arc::default(),
@@ -108,7 +108,7 @@
         for stream in [LogStream::Leases, LogStream::Power] {
             context.spawn(log_tail::follow_every(context.clone(), stream, HOLD_READ_PERIOD));
         }
-        context.spawn(polls::poll_instance_list(context.clone()));
+        context.spawn(poll_tasks::poll_instance_list(context.clone()));
     }
 
     /// Applies `event` and publishes the snapshot that follows from it.
@@ -203,7 +203,7 @@
                 RoutingEvent::Answer(feedback)
             }
             TrafficReport::Load { server, report, requested_at } => {
-                self.routing_polls.planner.postpone_load_poll(&server, now);
+                self.server_polls.planner.postpone_load_poll(&server, now);
                 RoutingEvent::Load { server, report, asked_at: requested_at }
             }
             TrafficReport::AttemptFailed { server } => RoutingEvent::ServerFailed { server },
