--- a/src/links/connection.rs
+++ b/src/links/connection.rs
@@ -1,4 +1,4 @@
-//! Connections of partner links: opening, authentication, and the exchange of messages.
+//! Connections of partner links: opening, authentication and exchange of messages.
 
 use super::MAX_MESSAGE_BYTES;
 use super::handshake::{Challenge, Identity, LINK_PROTOCOL_VERSION, Proof, Side, fresh_nonce};
@@ -22,17 +22,17 @@
 use tokio_tungstenite::tungstenite::{Error, Message};
 use tokio_util::compat::{Compat, FuturesAsyncReadCompatExt};
 
-/// Time for opening and authenticating a link.
+/// Maximum duration of opening and authenticating a link.
 const OPEN_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Time for closing a link in good order.
+/// Maximum duration of the closing handshake of a link.
 const CLOSE_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Most bytes of a message before the peer is authenticated.
-const HANDSHAKE_LIMIT_BYTES: usize = 1_024;
+/// Maximum size of a handshake message; the peer is not authenticated yet.
+const MAX_HANDSHAKE_MESSAGE_BYTES: usize = 1_024;
 
-/// Bytes that a frame adds to a message, with the largest length field and the mask.
-pub const FRAME_OVERHEAD_BYTES: usize = 14;
+/// Maximum bytes that a WebSocket frame adds to a message: header, longest length field and mask.
+pub const MAX_FRAME_OVERHEAD_BYTES: usize = 14;
 
 type Socket = WebSocketStream<Compat<TcpStream>>;
 
@@ -42,37 +42,37 @@
     socket: Socket,
 }
 
-/// Message that a peer sent.
+/// Message received from a peer.
 #[derive(Clone, Debug)]
 pub struct ReceivedMessage {
-    /// Message, none if its kind is newer than this build.
+    /// Message, none if this build does not know its kind.
     pub message: Option<PartnerMessage>,
-    /// Bytes of the message with its frame.
+    /// Size of the message, with the maximum overhead of its frame.
     pub bytes: usize,
 }
 
 /// How a link ended.
 #[derive(Debug)]
 pub enum LinkEnd {
-    /// Either side closed it in good order.
+    /// Either side closed it gracefully.
     Closed,
-    /// It broke, or the peer sent what is no message.
+    /// The connection failed, or the peer sent a malformed message.
     Broken(anyhow::Error),
 }
 
 /// Opens a link to the node at `address`.
 pub async fn dial(address: SocketAddr, identity: &Identity) -> PeerResult<Link> {
     let deadline = Instant::now() + OPEN_TIMEOUT;
-    let opened = within(deadline, open(address, identity)).await;
+    let opened = within(deadline, dial_link(address, identity)).await;
     link_result(address.to_smolstr(), Step::Connect, opened.map_err(Into::into).flatten())
 }
 
-/// Accepts a link on an accepted connection; a peer that does not authenticate itself gets a
-/// challenge and nothing else.
+/// Accepts a link on a TCP connection. A peer that does not authenticate itself receives nothing but
+/// a challenge.
 pub async fn accept(stream: TcpStream, identity: &Identity) -> PeerResult<Link> {
     let peer = stream.peer_addr().map_or_else(|_| SmolStr::default(), |peer| peer.to_smolstr());
     let deadline = Instant::now() + OPEN_TIMEOUT;
-    let opened = within(deadline, admit(stream, identity)).await;
+    let opened = within(deadline, accept_link(stream, identity)).await;
     link_result(peer, Step::ReadHead, opened.map_err(Into::into).flatten())
 }
 
@@ -80,30 +80,34 @@
     result.map_err(|error| PeerError::new(step, peer, Delivery::NotSent, error))
 }
 
-async fn open(address: SocketAddr, identity: &Identity) -> anyhow::Result<Link> {
+async fn dial_link(address: SocketAddr, identity: &Identity) -> anyhow::Result<Link> {
     let stream = TcpStream::connect(address).await?;
     stream.set_nodelay(true)?;
     let url = format!("ws://{address}/partner");
     let (mut socket, _response) =
         tokio_tungstenite::client_async_with_config(url, stream.compat(), Some(config())).await?;
     let challenge: Challenge = receive(&mut socket).await?;
-    ensure!(challenge.protocol == LINK_PROTOCOL_VERSION, "protocol {}", challenge.protocol);
+    ensure!(
+        challenge.protocol == LINK_PROTOCOL_VERSION,
+        "unsupported protocol version {}",
+        challenge.protocol
+    );
     let nonce = fresh_nonce()?;
     send(&mut socket, &Proof::new(identity, Side::Dialer, &challenge, nonce)).await?;
     let proof: Proof = receive(&mut socket).await?;
-    ensure!(proof.nonce == nonce, "the nonce differs");
-    proof.check(&identity.key, Side::Listener, &challenge)?;
+    ensure!(proof.nonce == nonce, "the peer answered with another nonce");
+    proof.verify(&identity.key, Side::Listener, &challenge)?;
     Ok(Link { peer: proof.member, socket })
 }
 
-async fn admit(stream: TcpStream, identity: &Identity) -> anyhow::Result<Link> {
+async fn accept_link(stream: TcpStream, identity: &Identity) -> anyhow::Result<Link> {
     stream.set_nodelay(true)?;
     let mut socket =
         tokio_tungstenite::accept_async_with_config(stream.compat(), Some(config())).await?;
     let challenge = Challenge::new()?;
     send(&mut socket, &challenge).await?;
     let proof: Proof = receive(&mut socket).await?;
-    proof.check(&identity.key, Side::Dialer, &challenge)?;
+    proof.verify(&identity.key, Side::Dialer, &challenge)?;
     send(&mut socket, &Proof::new(identity, Side::Listener, &challenge, proof.nonce)).await?;
     Ok(Link { peer: proof.member, socket })
 }
@@ -125,7 +129,7 @@
 
 async fn receive<T: DeserializeOwned>(socket: &mut Socket) -> anyhow::Result<T> {
     match socket.next().await.context("closed")?? {
-        Message::Binary(bytes) if bytes.len() <= HANDSHAKE_LIMIT_BYTES => {
+        Message::Binary(bytes) if bytes.len() <= MAX_HANDSHAKE_MESSAGE_BYTES => {
             Ok(ciborium::from_reader(bytes.as_ref())?)
         }
         _ => bail!("not a handshake message"),
@@ -133,13 +137,13 @@
 }
 
 impl Link {
-    /// Record of the peer.
+    /// Returns the record of the peer.
     pub fn peer(&self) -> &MemberRecord {
         &self.peer
     }
 
-    /// Exchanges messages until either side closes the link; closing `outgoing` closes it in good
-    /// order.
+    /// Exchanges messages until either side closes the link or it fails. Once `outgoing` is closed
+    /// and empty, the link is closed gracefully.
     pub async fn run(
         self,
         outgoing: Receiver<Bytes>,
@@ -173,19 +177,19 @@
     }
 }
 
-/// Returns the message, or none at the end of a link that was closed in good order.
+/// Decodes a received message; returns none if the peer closed the link gracefully.
 fn read_message(
     received: Option<Result<Message, Error>>,
 ) -> anyhow::Result<Option<ReceivedMessage>> {
     let bytes = match received {
         Some(Ok(Message::Binary(bytes))) => bytes,
         None | Some(Ok(Message::Close(_)) | Err(Error::ConnectionClosed)) => return Ok(None),
-        Some(Ok(_)) => bail!("not a binary message"),
+        Some(Ok(_)) => bail!("not a binary WebSocket message"),
         Some(Err(error)) => return Err(error.into()),
     };
     let message = match PartnerMessage::decode(&bytes)? {
         DecodedMessage::Known(message) => Some(message),
         DecodedMessage::UnknownKind => None,
     };
-    Ok(Some(ReceivedMessage { message, bytes: bytes.len() + FRAME_OVERHEAD_BYTES }))
+    Ok(Some(ReceivedMessage { message, bytes: bytes.len() + MAX_FRAME_OVERHEAD_BYTES }))
 }
--- a/src/links/handshake.rs
+++ b/src/links/handshake.rs
@@ -1,5 +1,5 @@
-//! Mutual authentication by the shared key: each side proves that it knows the key over fresh
-//! nonces of both sides, so that a recorded handshake cannot be replayed.
+//! Mutual authentication with a shared key. Each side sends a keyed hash over fresh nonces of both
+//! sides, so that a recorded handshake cannot be replayed.
 
 use crate::decision::membership::{MemberRecord, MemberStatus};
 use crate::types::{AvailabilityZone, InstanceId};
@@ -13,35 +13,35 @@
 /// Version of the link protocol.
 pub const LINK_PROTOCOL_VERSION: u32 = 1;
 
-/// Bytes of a block of SHA-256.
+/// Block size of SHA-256.
 const BLOCK_BYTES: usize = 64;
 
-/// Bytes of a nonce.
+/// Size of a nonce.
 const NONCE_BYTES: usize = 16;
 
-/// What a node proves on its links.
+/// Identity that a node proves when a link opens.
 #[derive(Clone, Debug)]
 pub struct Identity {
-    /// Shared key.
+    /// Key shared by all partners.
     pub key: SmolStr,
     /// Record of the node.
     pub record: MemberRecord,
 }
 
 impl Identity {
-    /// Returns the identity of a run that starts now and listens for partners on `address`.
+    /// Returns the identity of a node that starts now and listens for partners on `address`.
     pub fn new(
         key: SmolStr,
         instance: InstanceId,
         address: SocketAddr,
         availability_zone: AvailabilityZone,
     ) -> Self {
-        let started = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+        let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         let record = MemberRecord {
             instance,
             address,
             availability_zone,
-            started_unix_ms: u64::try_from(started.as_millis()).unwrap_or(u64::MAX),
+            started_unix_ms: u64::try_from(since_epoch.as_millis()).unwrap_or(u64::MAX),
             version: 0,
             status: MemberStatus::Alive,
         };
@@ -49,7 +49,7 @@
     }
 }
 
-/// First message, of the listener.
+/// First message of the handshake, from the listener.
 #[derive(Clone, Copy, Debug, Deserialize, Serialize)]
 pub struct Challenge {
     /// Version of the link protocol.
@@ -58,14 +58,14 @@
     pub nonce: u128,
 }
 
-/// Answer of the dialer, and then of the listener, with a proof over all that was said.
+/// Second and third message of the handshake, from the dialer and then from the listener.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct Proof {
     /// Nonce of the dialer.
     pub nonce: u128,
-    /// Record of the prover.
+    /// Record of the sender.
     pub member: MemberRecord,
-    /// Keyed hash.
+    /// HMAC-SHA-256 over side, protocol version, both nonces and record.
     pub hash: Vec<u8>,
 }
 
@@ -86,18 +86,18 @@
 }
 
 impl Proof {
-    /// Returns the proof of `identity` for its `side`.
+    /// Returns the proof of `identity`, which is on `side` of the link.
     pub fn new(identity: &Identity, side: Side, challenge: &Challenge, nonce: u128) -> Self {
         let member = identity.record.clone();
         let hash = proof_hash(&identity.key, side, challenge, nonce, &member);
         Self { nonce, member, hash }
     }
 
-    /// Checks the proof of the peer on `side`.
-    pub fn check(&self, key: &str, side: Side, challenge: &Challenge) -> anyhow::Result<()> {
+    /// Verifies the proof of a peer on `side` of the link, in constant time.
+    pub fn verify(&self, key: &str, side: Side, challenge: &Challenge) -> anyhow::Result<()> {
         let expected = proof_hash(key, side, challenge, self.nonce, &self.member);
         let difference = expected.iter().zip(&self.hash).fold(0, |all, (a, b)| all | (a ^ b));
-        ensure!(self.hash.len() == expected.len() && difference == 0, "the proof does not hold");
+        ensure!(self.hash.len() == expected.len() && difference == 0, "invalid proof");
         Ok(())
     }
 }
@@ -105,7 +105,7 @@
 /// Returns a nonce from the operating system's random source.
 pub fn fresh_nonce() -> anyhow::Result<u128> {
     let mut bytes = [0; NONCE_BYTES];
-    getrandom::fill(&mut bytes).context("no random bytes")?;
+    getrandom::fill(&mut bytes).context("random source of the operating system failed")?;
     Ok(u128::from_le_bytes(bytes))
 }
 
@@ -123,11 +123,11 @@
     message.extend(challenge.protocol.to_le_bytes());
     message.extend(challenge.nonce.to_le_bytes());
     message.extend(nonce.to_le_bytes());
-    ciborium::into_writer(member, &mut message).expect("a Vec takes every write");
+    ciborium::into_writer(member, &mut message).expect("writing to a Vec does not fail");
     hmac_sha256(key.as_bytes(), &message)
 }
 
-/// HMAC with SHA-256 (RFC 2104).
+/// Returns the HMAC (RFC 2104) of `message` with SHA-256.
 pub fn hmac_sha256(key: &[u8], message: &[u8]) -> Vec<u8> {
     let mut block = [0u8; BLOCK_BYTES];
     if key.len() > BLOCK_BYTES {
--- a/src/links/message.rs
+++ b/src/links/message.rs
@@ -15,8 +15,8 @@
 use serde::{Deserialize, Serialize};
 use strum::{EnumDiscriminants, IntoDiscriminant, IntoStaticStr, VariantNames};
 
-/// Message to a partner. Kinds may be added and fields may be added to a kind; a build skips kinds
-/// and fields that it does not know.
+/// Message to a partner. Later builds may add kinds, and fields to a kind; a build skips those that
+/// it does not know.
 #[derive(Clone, Debug, Deserialize, EnumDiscriminants, PartialEq, Serialize, VariantNames)]
 #[serde(rename_all = "snake_case")]
 #[strum(serialize_all = "snake_case")]
@@ -27,89 +27,90 @@
     doc = "Kind of a message."
 )]
 pub enum PartnerMessage {
-    /// Sign of life.
+    /// Keep-alive, with digests of the sender's state.
     Ping {
         /// Digest of the sender's member set.
         digest: u64,
-        /// What the sender knows of the configuration.
+        /// How far the sender has read the configuration.
         configuration: ConfigurationAnnouncement,
     },
-    /// Records of members.
+    /// Member records.
     Members(Vec<MemberRecord>),
     /// Strikes against requests; the receiver keeps the union.
     Strikes(Vec<Strike>),
-    /// Backend servers that leave.
+    /// Backend servers that are leaving.
     Leaving(Vec<LeavingNotice>),
     /// Transfer of power.
     Power(PowerMessage),
-    /// Asks for the configuration above an offset.
+    /// Requests the configuration if the receiver has folded records above an offset.
     ConfigurationRequest {
-        /// Offset that the sender has folded.
+        /// Offset of the last record that the sender has folded.
         above: LogOffset,
     },
     /// Configuration for a partner that cannot read the log.
     Configuration(Box<ConfigurationCopy>),
-    /// What the sender knows of each topic of keyed records.
+    /// How far the sender knows each topic of keyed records.
     Topics(Vec<TopicDigest>),
-    /// Asks for the records of a topic from an offset on.
+    /// Requests the records of a topic from an offset on.
     RecordsRequest(TopicDigest),
     /// Keyed records.
     Records(Box<TopicDelta>),
-    /// Requests of the sender at backend servers, and prefixes that it had saved.
+    /// Load at backend servers and newly stored or cached prefixes, as known to the sender.
     RelayLoad(RelayLoad),
     /// State of a rollout of weights.
     Rollout(RolloutNotice),
 }
 
-/// What a node knows of a topic of keyed records.
+/// How far a node knows a topic of keyed records.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct TopicDigest {
     /// Topic.
     pub topic: RecordTopic,
-    /// Offset below which every key's newest record is known, none before the first listing.
+    /// Offset below which the latest record of each key is known, none before the first listing.
     pub known_below: Option<LogOffset>,
-    /// Milliseconds since the store was known to hold nothing newer, none if it never was.
+    /// Milliseconds since the store was last confirmed to hold no newer records, none if it never
+    /// was.
     #[serde(default)]
     pub age_ms: Option<u64>,
 }
 
-/// State of a rollout of weights, as its coordinator tells it.
+/// State of a rollout of weights, sent by its coordinator.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct RolloutNotice {
-    /// Number of the notice; later ones of a coordinator have higher numbers.
+    /// Number of the notice; increases with each notice of a coordinator.
     pub number: u64,
     /// Model.
     pub model: ModelId,
-    /// Servers that get no new requests for now.
+    /// Servers that must temporarily get no new requests.
     pub closed: Vec<ServerId>,
-    /// Closed servers that streams are taken off.
+    /// Closed servers whose resumable streams must continue on other servers.
     pub evicted: Vec<ServerId>,
-    /// Servers that changed, with their weights.
+    /// Servers that have switched weights, with the new revision.
     pub changed: Vec<(ServerId, WeightsRevision)>,
-    /// Servers that are open again without having changed, since they did not answer.
+    /// Servers that are open again without a switch because they did not answer.
     pub reopened: Vec<ServerId>,
     /// Record of the lease under which the rollout runs.
     pub lease: RegisterRecord,
 }
 
-/// What the bytes of a message turned out to be.
+/// Result of decoding a message.
 #[derive(Clone, Debug, PartialEq)]
 pub enum DecodedMessage {
     /// Message of a known kind.
     Known(PartnerMessage),
-    /// Message of a kind that a newer build has added.
+    /// Message of a kind that this build does not know.
     UnknownKind,
 }
 
 impl PartnerMessage {
-    /// Returns the message in CBOR.
+    /// Encodes the message as CBOR.
     pub fn encode(&self) -> Bytes {
         let mut bytes = Vec::new();
-        ciborium::into_writer(self, &mut bytes).expect("a Vec takes every write");
+        ciborium::into_writer(self, &mut bytes).expect("writing to a Vec does not fail");
         bytes.into()
     }
 
-    /// Reads a message.
+    /// Decodes a message from CBOR. A kind that this build does not know is not an error.
     pub fn decode(bytes: &[u8]) -> anyhow::Result<DecodedMessage> {
         let error = match ciborium::from_reader(bytes) {
             Ok(message) => return Ok(DecodedMessage::Known(message)),
--- a/src/links/mod.rs
+++ b/src/links/mod.rs
@@ -1,4 +1,4 @@
-//! Partner links between nodes: authenticated websocket connections that carry CBOR messages.
+//! Partner links between nodes: authenticated WebSocket connections that carry CBOR messages.
 
 pub mod connection;
 pub mod handshake;
@@ -12,5 +12,5 @@
 pub use outbox::Outbox;
 pub use table::{LinkHandle, LinkTable, SendOutcome};
 
-/// Most bytes of a message, sent or received.
+/// Maximum size of a message, sent or received, without its frame.
 pub const MAX_MESSAGE_BYTES: usize = 1024 * 1024;
--- a/src/links/table.rs
+++ b/src/links/table.rs
@@ -1,31 +1,31 @@
 //! Open links of a node, by peer and by number.
 
-use super::connection::FRAME_OVERHEAD_BYTES;
+use super::connection::MAX_FRAME_OVERHEAD_BYTES;
 use super::{MAX_MESSAGE_BYTES, PartnerMessage};
 use crate::types::InstanceId;
 use async_channel::Sender;
 use bytes::Bytes;
 use std::collections::BTreeMap;
 
-/// Open link.
+/// Handle of an open link.
 #[derive(Debug)]
 pub struct LinkHandle {
-    /// Number of the link within this run.
+    /// Number of the link, unique within this run of the node.
     pub number: u64,
     /// Whether this node dialed.
     pub dialed: bool,
-    /// Way to the link's connection; closing it closes the link in good order.
+    /// Queue of encoded messages to the peer; closing it closes the link gracefully.
     pub outgoing: Sender<Bytes>,
 }
 
-/// What became of a message.
+/// Result of sending a message.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum SendOutcome {
-    /// The connection takes it; its bytes with the frame.
+    /// Queued for the connection; size in bytes, with the maximum overhead of the frame.
     Sent(usize),
-    /// There is no link to the peer, or the message is too large for one.
+    /// There is no link to the peer, or the message exceeds [`MAX_MESSAGE_BYTES`].
     Undeliverable,
-    /// The connection has no room for it.
+    /// The link's queue is full or closed.
     Dropped,
 }
 
@@ -33,20 +33,20 @@
 #[derive(Debug, Default)]
 pub struct LinkTable {
     links: BTreeMap<InstanceId, LinkHandle>,
-    /// Peer of each link's number.
+    /// Peers by the number of their link.
     peers: BTreeMap<u64, InstanceId>,
 }
 
 impl LinkTable {
-    /// Adds a link of `me` to `peer` and returns whether it stays: of two links to one peer, that of
-    /// the dialer with the lower id does.
-    pub fn add(&mut self, me: &InstanceId, peer: &InstanceId, link: LinkHandle) -> bool {
-        if peer == me {
+    /// Adds a link from `local` to `peer`, replacing an older one; returns whether it was added. If
+    /// both nodes dialed each other, the link dialed by the node with the lower id is kept.
+    pub fn add(&mut self, local: &InstanceId, peer: &InstanceId, link: LinkHandle) -> bool {
+        if peer == local {
             return false;
         }
         if let Some(current) = self.links.get(peer) {
-            let own_dial_stays = me < peer;
-            if current.dialed != link.dialed && current.dialed == own_dial_stays {
+            let keep_dialed = local < peer;
+            if current.dialed != link.dialed && current.dialed == keep_dialed {
                 return false;
             }
             self.peers.remove(&current.number);
@@ -68,7 +68,7 @@
         self.links.get(peer)
     }
 
-    /// Returns the peer of the link `number`.
+    /// Returns the peer of the link with this number.
     pub fn peer(&self, number: u64) -> Option<&InstanceId> {
         self.peers.get(&number)
     }
@@ -78,11 +78,11 @@
         self.links.keys()
     }
 
-    /// Sends a message to `peer` at once.
+    /// Queues a message on the link to `peer`.
     pub fn send(&self, peer: &InstanceId, message: &PartnerMessage) -> SendOutcome {
         let Some(link) = self.links.get(peer) else { return SendOutcome::Undeliverable };
         let bytes = message.encode();
-        let size_bytes = bytes.len() + FRAME_OVERHEAD_BYTES;
+        let size_bytes = bytes.len() + MAX_FRAME_OVERHEAD_BYTES;
         if bytes.len() > MAX_MESSAGE_BYTES {
             log::error!("event=link_message_too_large peer={peer} kind={}", message.kind());
             return SendOutcome::Undeliverable;
--- a/tests/together/links.rs
+++ b/tests/together/links.rs
@@ -1,5 +1,5 @@
-//! Partner links over loopback: authentication, unknown message kinds, closing, and the order in
-//! which an outbox sends.
+//! Partner links over loopback: a peer without the key or with a replayed proof is refused, messages
+//! of unknown kinds are skipped, and an outbox sends by priority.
 
 use bytes::Bytes;
 use coriandertide::decision::leaving::LeavingNotice;
@@ -31,7 +31,7 @@
     listener: PeerResult<Link>,
 }
 
-/// Opens a link between a dialer and a listener that have these partner keys.
+/// Opens a link between a dialer and a listener with these partner keys.
 fn open(dialer_key: &str, listener_key: &str) -> LinkPair {
     let (dialer, listener) = (identity("a", dialer_key), identity("b", listener_key));
     smol::block_on(async {
@@ -55,7 +55,7 @@
     let links = open("a wrong key", "the shared key");
     assert!(links.dialer.is_err());
     let error = links.listener.err().unwrap();
-    assert!(error.to_string().contains("the proof does not hold"), "{error}");
+    assert!(error.to_string().contains("invalid proof"), "{error}");
 }
 
 #[test]
@@ -63,21 +63,21 @@
     let identity = identity("a", "the shared key");
     let challenge = Challenge::new().unwrap();
     let proof = Proof::new(&identity, Side::Dialer, &challenge, 7);
-    assert!(proof.check(&identity.key, Side::Dialer, &challenge).is_ok());
-    assert!(proof.check(&identity.key, Side::Dialer, &Challenge::new().unwrap()).is_err());
-    assert!(proof.check(&identity.key, Side::Listener, &challenge).is_err());
+    assert!(proof.verify(&identity.key, Side::Dialer, &challenge).is_ok());
+    assert!(proof.verify(&identity.key, Side::Dialer, &Challenge::new().unwrap()).is_err());
+    assert!(proof.verify(&identity.key, Side::Listener, &challenge).is_err());
     assert!(
         Proof { nonce: 8, ..proof.clone() }
-            .check("the shared key", Side::Dialer, &challenge)
+            .verify("the shared key", Side::Dialer, &challenge)
             .is_err()
     );
     let mut other = proof;
     other.member.version += 1;
-    assert!(other.check(&identity.key, Side::Dialer, &challenge).is_err());
+    assert!(other.verify(&identity.key, Side::Dialer, &challenge).is_err());
 }
 
 #[test]
-fn messages_arrive_in_order_newer_kinds_are_skipped_and_the_link_closes_cleanly() {
+fn messages_arrive_in_order_unknown_kinds_are_skipped_and_the_link_closes_gracefully() {
     let links = open("the shared key", "the shared key");
     let (to_listener, dialer_queue) = async_channel::bounded(8);
     let (to_dialer, listener_queue) = async_channel::bounded(8);
@@ -101,12 +101,12 @@
 fn malformed_messages_are_rejected() {
     assert!(PartnerMessage::decode(b"\xff").is_err());
     assert!(PartnerMessage::decode(b"\xa1\x67members\x01").is_err());
-    let novel = PartnerMessage::decode(b"\xa1\x65novel\x01").unwrap();
-    assert_eq!(novel, DecodedMessage::UnknownKind);
+    let unknown = PartnerMessage::decode(b"\xa1\x65novel\x01").unwrap();
+    assert_eq!(unknown, DecodedMessage::UnknownKind);
 }
 
 #[test]
-fn outbox_sends_by_priority_and_only_the_latest_member_record() {
+fn outbox_sends_by_priority_and_only_the_latest_record_of_a_member() {
     let mut outbox = Outbox::default();
     let member = |version| MemberRecord { version, ..identity("a", "key").record };
     outbox.add_members([member(1)]);
