--- a/src/control/admin.rs
+++ b/src/control/admin.rs
@@ -1,4 +1,4 @@
-//! Publishes what the administration API and monitoring show of nodes, leases, power and links.
+//! Updates the view of nodes, leases and power for the administration API, and its metrics.
 
 use super::ControlState;
 use crate::admin::messages::{LeaseReply, NodeReply, NodeState, PowerReply};
@@ -10,40 +10,40 @@
 use std::time::{Duration, Instant};
 use strum::IntoEnumIterator;
 
-/// Time between two looks at leases, power and links.
+/// Minimum time between two updates of the view.
 const PUBLISH_PERIOD: Duration = Duration::from_millis(500);
 
 impl ControlState {
-    /// Publishes what has changed, at most once in [`PUBLISH_PERIOD`].
+    /// Updates nodes, leases and power in the view, at most once per [`PUBLISH_PERIOD`].
     pub(super) fn tick_admin(&mut self, now: Instant) {
-        if self.next_admin_at.is_some_and(|at| now < at) {
+        if self.next_admin_publish_at.is_some_and(|at| now < at) {
             return;
         }
-        self.next_admin_at = Some(now + PUBLISH_PERIOD);
+        self.next_admin_publish_at = Some(now + PUBLISH_PERIOD);
         self.publish_nodes();
         self.publish_leases();
         self.publish_power(now);
     }
 
-    /// Publishes the nodes and what each has in force.
+    /// Updates the nodes in the view, with the configuration that each has in force.
     pub(super) fn publish_nodes(&mut self) {
-        self.forget_announcements();
-        let mut nodes = vec![self.own_node()];
-        nodes.extend(self.links.membership.live_members().map(|member| self.other_node(member)));
+        self.remove_stale_announcements();
+        let mut nodes = vec![self.local_node_reply()];
+        nodes.extend(self.links.membership.live_members().map(|member| self.member_reply(member)));
         nodes.sort_by(|a, b| a.instance.cmp(&b.instance));
         if *self.admin.nodes != nodes {
             Arc::make_mut(&mut self.admin).nodes = Arc::new(nodes);
         }
     }
 
-    /// Forgets what nodes said that are gone.
-    fn forget_announcements(&mut self) {
+    /// Removes the announcements of nodes that are no longer live.
+    fn remove_stale_announcements(&mut self) {
         let live: BTreeSet<&InstanceId> =
             self.links.membership.live_members().map(|member| &member.instance).collect();
-        self.partners.announcements.retain(|instance, _| live.contains(instance));
+        self.configuration_exchange.announcements.retain(|instance, _| live.contains(instance));
     }
 
-    fn own_node(&self) -> NodeReply {
+    fn local_node_reply(&self) -> NodeReply {
         let announcement = self.configuration.announcement();
         NodeReply {
             instance: self.context.instance.clone(),
@@ -54,8 +54,8 @@
         }
     }
 
-    fn other_node(&self, member: &MemberRecord) -> NodeReply {
-        let announced = self.partners.announcements.get(&member.instance);
+    fn member_reply(&self, member: &MemberRecord) -> NodeReply {
+        let announcement = self.configuration_exchange.announcements.get(&member.instance);
         NodeReply {
             instance: member.instance.clone(),
             availability_zone: member.availability_zone.clone(),
@@ -64,8 +64,8 @@
                 MemberStatus::Suspect | MemberStatus::Dead => NodeState::Suspected,
                 MemberStatus::Left => NodeState::Leaving,
             },
-            configuration_offset: announced.map(|announcement| announcement.offset),
-            in_force: announced.map(|announcement| announcement.in_force),
+            configuration_offset: announcement.map(|announcement| announcement.offset),
+            in_force: announcement.map(|announcement| announcement.in_force),
         }
     }
 
@@ -85,19 +85,19 @@
     }
 
     fn publish_power(&mut self, now: Instant) {
-        let figures = self.power.figures(now);
+        let stats = self.power.stats(now);
         let budget_watts =
             self.document.as_ref().map_or(0, |document| u64::from(document.site.budget_watts));
         let reply = PowerReply {
             budget_watts,
-            allowed_watts: figures.allowed_watts,
-            committed_watts: figures.committed_watts,
-            given_watts: figures.given_watts,
-            received_watts: figures.received_watts,
+            allowed_watts: stats.allowed_watts,
+            committed_watts: stats.committed_watts,
+            given_watts: stats.given_watts,
+            received_watts: stats.received_watts,
         };
         let metrics = &self.context.metrics;
-        metrics.power_share_watts.set(watts_gauge(figures.allowed_watts));
-        metrics.power_committed_watts.set(watts_gauge(figures.committed_watts));
+        metrics.power_share_watts.set(watts_gauge(stats.allowed_watts));
+        metrics.power_committed_watts.set(watts_gauge(stats.committed_watts));
         if self.admin.power != reply {
             Arc::make_mut(&mut self.admin).power = reply;
         }
--- a/src/control/configuration.rs
+++ b/src/control/configuration.rs
@@ -1,4 +1,4 @@
-//! Follows the `configuration` stream and puts its documents in force.
+//! Folds the stream `configuration` and puts its documents in force.
 
 use super::ControlState;
 use crate::admin::ConfigurationView;
@@ -9,25 +9,26 @@
 use std::time::Instant;
 
 impl ControlState {
-    /// Folds in the records of `page` and puts the resulting document in force if it changed.
-    pub(super) fn apply_configuration(&mut self, page: LogPage, now: Instant) {
+    /// Folds the records of `page` and puts the resulting document in force if it changed.
+    pub(super) fn apply_configuration_page(&mut self, page: LogPage, now: Instant) {
         self.apply_configuration_event(ConfigurationEvent::LogRead(page), now);
     }
 
-    /// Applies an event to the follower and carries out its commands.
+    /// Applies an event to the follower and executes the resulting commands.
     pub(super) fn apply_configuration_event(&mut self, event: ConfigurationEvent, now: Instant) {
         let commands = self.configuration.apply(event);
-        let is_shown = self.admin.configuration.expired_to == self.configuration.expired_to();
-        if commands.is_empty() && is_shown {
+        let is_expiry_published =
+            self.admin.configuration.expired_to == self.configuration.expired_to();
+        if commands.is_empty() && is_expiry_published {
             return;
         }
         for command in commands {
-            self.carry_out_configuration(command, now);
+            self.execute_configuration_command(command, now);
         }
         self.publish_configuration();
     }
 
-    /// Makes the configuration visible to the administration API and to monitoring.
+    /// Updates the configuration in the administration view and in the metrics.
     fn publish_configuration(&mut self) {
         let view = ConfigurationView::from(&self.configuration);
         let metrics = &self.context.metrics;
@@ -40,7 +41,7 @@
         self.publish_nodes();
     }
 
-    fn carry_out_configuration(&mut self, command: ConfigurationCommand, now: Instant) {
+    fn execute_configuration_command(&mut self, command: ConfigurationCommand, now: Instant) {
         match command {
             ConfigurationCommand::PutInForce(document) => self.put_in_force(document, now),
             ConfigurationCommand::Announce(announcement) => {
@@ -51,12 +52,12 @@
                 );
                 self.announce_configuration();
             }
-            ConfigurationCommand::ReportMalformedRecord(bad) => {
+            ConfigurationCommand::ReportMalformedRecord(record) => {
                 self.context.metrics.configuration_bad_records.inc();
                 log::error!(
                     "event=bad_configuration_record offset={} fault={}",
-                    bad.offset,
-                    Quoted(&bad.reason)
+                    record.offset,
+                    Quoted(&record.reason)
                 );
             }
             ConfigurationCommand::ReportSnapshotDiffers(offset) => {
@@ -73,6 +74,6 @@
     }
 }
 
-fn gauge_value(offset: u64) -> i64 {
-    i64::try_from(offset).unwrap_or(i64::MAX)
+fn gauge_value(value: u64) -> i64 {
+    i64::try_from(value).unwrap_or(i64::MAX)
 }
--- a/src/control/context.rs
+++ b/src/control/context.rs
@@ -14,32 +14,32 @@
 use std::rc::{Rc, Weak};
 use std::sync::Arc;
 
-/// Ports and settings that the parts of the control thread work with.
+/// Ports, settings and channels shared by the tasks of the control thread.
 #[derive(Clone)]
 pub struct ControlContext {
-    /// Id of this run of the node.
+    /// Instance id of this node, unique to this run.
     pub instance: InstanceId,
     /// Settings.
     pub settings: Arc<Settings>,
-    /// Watts that the node may commit.
+    /// Account of the watts that the node may commit, shared with the traffic threads.
     pub power: Arc<PowerAccount>,
-    /// Signals to attempts whose watts are withdrawn.
+    /// Cancels attempts whose watts are withdrawn.
     pub shed_signals: Arc<ShedSignals>,
-    /// Platform's log.
+    /// The platform's log.
     pub log: Arc<dyn LogService>,
-    /// Platform's instance list.
+    /// The platform's instance list.
     pub instance_list: Arc<dyn InstanceList>,
     /// Model engines.
     pub engines: Arc<dyn ModelEngine>,
-    /// Store of kept KV cache, where the site has one.
+    /// External store of KV cache, none if the site has none.
     pub kv_store: Option<Arc<dyn KvStore>>,
     /// Metrics.
     pub metrics: Metrics,
-    /// Events of the control thread.
+    /// Queue of events to the control loop.
     pub events: Sender<ControlEvent>,
-    /// Live nodes, this one included.
+    /// Estimated number of live nodes, this one included.
     pub live_nodes: Rc<Cell<u32>>,
-    /// Executor of the control thread, held weakly since its tasks hold this context.
+    /// Executor of the control thread; weak because its tasks own clones of this context.
     pub executor: Weak<LocalExecutor<'static>>,
 }
 
@@ -51,7 +51,7 @@
         }
     }
 
-    /// Sends `event` to the control loop; it is lost only when the node stops.
+    /// Sends `event` to the control loop; it is dropped if the loop has ended.
     pub async fn send(&self, event: ControlEvent) {
         if self.events.send(event).await.is_err() {
             log::debug!("event=control_stopped");
--- a/src/control/event.rs
+++ b/src/control/event.rs
@@ -9,114 +9,114 @@
 use crate::types::{Incarnation, InstanceId, PeerError, ServerId};
 use std::time::Instant;
 
-/// Event of the control thread.
+/// Event that the control loop applies.
 #[derive(Debug)]
 pub enum ControlEvent {
-    /// Time for periodic work.
+    /// Periodic call.
     Tick,
-    /// Records of a log stream were read.
+    /// A log stream was read.
     LogRead {
         /// Stream.
         stream: LogStream,
         /// Records and bounds of the stream.
         page: LogPage,
-        /// When the read was sent.
-        asked_at: Instant,
+        /// When the page was requested.
+        requested_at: Instant,
     },
-    /// An extra read of the configuration stream ended.
+    /// An extra read of the configuration stream ended; its page or error is an earlier event.
     ConfigurationReadEnded,
     /// A read of a log stream failed.
-    LogFailed {
+    LogReadFailed {
         /// Stream.
         stream: LogStream,
         /// Error.
         error: PeerError,
     },
-    /// The instance list was read.
-    Instances(Vec<InstanceRecord>),
-    /// A backend server reported its load.
-    Load {
+    /// The platform's instance list was read.
+    InstanceListRead(Vec<InstanceRecord>),
+    /// A backend server answered a poll with its load report.
+    LoadReported {
         /// Server.
         server: ServerId,
         /// Report.
         report: LoadReport,
-        /// When the report was asked for.
-        asked_at: Instant,
+        /// When the report was requested.
+        polled_at: Instant,
     },
-    /// A backend server did not report its load.
-    LoadFailed {
+    /// A poll for a load report failed.
+    LoadReportFailed {
         /// Server.
         server: ServerId,
         /// Error.
         error: PeerError,
     },
-    /// A backend server published cache events.
+    /// A backend server answered a poll with cache events.
     CacheEvents {
         /// Server.
         server: ServerId,
         /// Events.
         page: CacheEventPage,
     },
-    /// A backend server published no cache events.
+    /// A poll for cache events failed.
     CacheEventsFailed {
         /// Server.
         server: ServerId,
         /// Error.
         error: PeerError,
     },
-    /// The KV store told what it keeps.
-    KeptPrefixes(Vec<StoredPrefix>),
-    /// It was looked whether a server crashed that broke off an answer.
+    /// The KV store answered a query for stored prefixes.
+    StoredPrefixes(Vec<StoredPrefix>),
+    /// The check of a server that interrupted an answer ended.
     CrashChecked {
-        /// Strike that follows if it did.
+        /// Strike to add if the server crashed.
         strike: Strike,
-        /// Whether it crashed.
+        /// Whether it crashed; false if that is unknown.
         crashed: bool,
     },
-    /// A traffic thread reports.
+    /// A traffic thread sent a report.
     Traffic(TrafficReport),
-    /// Something about claims of idempotency keys.
+    /// Message about claims of idempotency keys.
     Claims(ClaimsMessage),
-    /// A backend server answered an order.
-    Ordered(OrderAnswer),
-    /// The address of an instance refuses connections.
+    /// An order to a backend server was answered or failed.
+    OrderAnswered(OrderAnswer),
+    /// The address of an instance refuses connections, so its process has ended.
     InstanceEnded(InstanceId),
-    /// Something about partner links.
+    /// Event of a partner link.
     Link(LinkEvent),
     /// The node stops gracefully.
     Stopping,
 }
 
-/// What traffic threads report; reports are dropped while the channel is full.
+/// Report of a traffic thread; dropped if the event queue of the control thread is full.
 #[derive(Debug)]
 pub enum TrafficReport {
     /// A request was sent to a server.
     Sent(SentRequest),
     /// A server completed an answer.
     Answer(AnswerFeedback),
-    /// A server sent its load report with the head of an answer.
+    /// A server sent a load report with the head of an answer.
     Load {
         /// Server.
         server: ServerId,
         /// Report.
         report: LoadReport,
-        /// When the request was sent.
+        /// When the request that it answers was sent.
         requested_at: Instant,
     },
-    /// A server broke off an answer, perhaps since it crashed.
+    /// An answer ended early, possibly because the server crashed.
     AnswerInterrupted {
         /// Server.
         server: ServerId,
-        /// Incarnation of the server, if it had named one.
+        /// Incarnation of the server that ran the request, if known.
         incarnation: Option<Incarnation>,
         /// Fingerprint of the request.
         fingerprint: Fingerprint,
     },
-    /// A request that may crash servers ran to its end.
+    /// A request suspected of crashing servers was answered completely.
     SuspectCompleted(Fingerprint),
     /// A record was appended to the configuration stream.
     ConfigurationAppended,
-    /// An attempt on a server failed.
+    /// An attempt on a server failed, other than by a refusal.
     AttemptFailed {
         /// Server.
         server: ServerId,
--- a/src/control/leases.rs
+++ b/src/control/leases.rs
@@ -1,4 +1,4 @@
-//! Leases: carries the decision's records to the log and tells the other parts what is held.
+//! Leases: appends their records to the log and provides the leases that this node holds.
 
 use super::{ControlContext, ControlState};
 use crate::decision::leases::{HeldLease, LeaseCommand, LeaseEvent, LeaseKind};
@@ -10,23 +10,23 @@
 use strum::IntoEnumIterator;
 
 impl ControlState {
-    /// Folds in records of the stream `leases`.
+    /// Folds the records of a page of the stream `leases`.
     pub(super) fn apply_lease_page(&mut self, page: LogPage, now: Instant) {
         let from_offset = self.leases.next_offset();
-        self.advance_leases(LeaseEvent::Page { page, from_offset }, now);
+        self.apply_lease_event(LeaseEvent::Page { page, from_offset }, now);
     }
 
-    /// Renews and takes leases; a node without a document has no use for them.
+    /// Acquires and renews leases, unless the node stops or has no document yet.
     pub(super) fn tick_leases(&mut self, now: Instant) {
         let desired: BTreeSet<LeaseKind> = match &self.document {
             Some(_) if !self.is_stopping => LeaseKind::iter().collect(),
             _ => BTreeSet::new(),
         };
-        self.advance_leases(LeaseEvent::Desired(desired), now);
-        self.export_leases(now);
+        self.apply_lease_event(LeaseEvent::Desired(desired), now);
+        self.update_lease_metrics(now);
     }
 
-    fn export_leases(&self, now: Instant) {
+    fn update_lease_metrics(&self, now: Instant) {
         let metrics = &self.context.metrics;
         let held = LeaseKind::iter().filter(|kind| self.leases.held(*kind, now).is_some());
         metrics.leases_held.set(i64::try_from(held.count()).unwrap_or(i64::MAX));
@@ -37,9 +37,9 @@
         }
     }
 
-    /// Gives held leases up.
-    pub(super) fn stop_leases(&mut self, now: Instant) {
-        self.advance_leases(LeaseEvent::Stop, now);
+    /// Releases all leases for the shutdown of the node.
+    pub(super) fn release_leases(&mut self, now: Instant) {
+        self.apply_lease_event(LeaseEvent::Stop, now);
     }
 
     /// Returns the lease of `kind` if this node holds it now.
@@ -47,7 +47,7 @@
         self.leases.held(kind, Instant::now())
     }
 
-    fn advance_leases(&mut self, event: LeaseEvent, now: Instant) {
+    fn apply_lease_event(&mut self, event: LeaseEvent, now: Instant) {
         for command in self.leases.apply(event, now) {
             match command {
                 LeaseCommand::Append(record) => {
@@ -67,7 +67,8 @@
     }
 }
 
-/// Appends `record` to `stream`, in JSON. Its author repeats it until it reads it back.
+/// Appends `record` to `stream` as JSON. A failure is only logged: the decision that created the
+/// record repeats it until it is read back.
 pub(super) fn append_record(context: &ControlContext, stream: LogStream, record: &impl Serialize) {
     let payload = match serde_json::to_vec(record) {
         Ok(payload) => payload,
--- a/src/control/links.rs
+++ b/src/control/links.rs
@@ -1,4 +1,4 @@
-//! Partner links of the node: opens, accepts and closes them, and keeps them within the byte
+//! Partner links of the node: opens and closes them, and sends queued messages within a byte
 //! budget.
 
 use super::{ControlContext, ControlEvent, ControlState};
@@ -21,16 +21,16 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// Messages that may wait for a link's connection.
-const LINK_QUEUE: usize = 64;
+/// Capacity of a link's queue of encoded messages.
+const LINK_QUEUE_MESSAGES: usize = 64;
 
-/// Seconds of the byte budget that may be spent at once.
+/// Burst of the byte budget, in seconds of its rate.
 const BURST_S: f64 = 2.0;
 
-/// Event about partner links.
+/// Event of a partner link.
 #[derive(Debug)]
 pub enum LinkEvent {
-    /// A link was opened and its peer authenticated.
+    /// A link was opened and its peer was authenticated.
     Opened(OpenedLink),
     /// A peer sent a message.
     Received {
@@ -48,41 +48,42 @@
     },
     /// A link could not be opened.
     DialFailed {
-        /// Address that was dialed.
+        /// Dialed address.
         address: SocketAddr,
         /// Error.
         error: PeerError,
     },
 }
 
-/// Link that was opened.
+/// Newly opened link to an authenticated peer.
 #[derive(Debug)]
 pub struct OpenedLink {
     /// Number of the link within this run.
     pub number: u64,
-    /// Record that the peer gave of itself.
+    /// The peer's own record.
     pub peer: MemberRecord,
     /// Whether this node dialed.
     pub dialed: bool,
-    /// Way to the link's connection; closing it closes the link in good order.
+    /// Queue of encoded messages to the peer; closing it closes the link gracefully.
     pub outgoing: Sender<Bytes>,
 }
 
-/// Links, membership and the byte budget.
+/// Membership, open links and the messages queued for them.
 pub struct LinksControl {
     pub(super) membership: MembershipState,
     metrics: Metrics,
-    /// Identity that links prove; its record follows the membership's.
+    /// Identity for handshakes, shared with the tasks that open links; its record is a copy of the
+    /// local record of `membership`.
     identity: Rc<RefCell<Identity>>,
-    numbers: Rc<RefCell<u64>>,
-    links: LinkTable,
-    /// What waits for each partner within the byte budget.
+    last_link_number: Rc<RefCell<u64>>,
+    table: LinkTable,
+    /// Messages to each linked peer that wait for the byte budget.
     outboxes: BTreeMap<InstanceId, Outbox>,
-    budget: TokenBucket,
+    byte_budget: TokenBucket,
 }
 
 impl LinksControl {
-    /// Returns the links of a node that has just started and listens for partners on `address`.
+    /// Returns the state of a newly started node that listens for partners on `address`.
     pub fn new(context: &ControlContext, address: SocketAddr, now: Instant) -> Self {
         let settings = &context.settings;
         let identity = Identity::new(
@@ -91,7 +92,7 @@
             address,
             settings.availability_zone.clone(),
         );
-        let rate_per_s = f64::from(settings.control.link_bytes_per_s);
+        let bytes_per_s = f64::from(settings.control.link_bytes_per_s);
         Self {
             membership: MembershipState::new(
                 identity.record.clone(),
@@ -99,39 +100,42 @@
             ),
             metrics: context.metrics.clone(),
             identity: Rc::new(RefCell::new(identity)),
-            numbers: Rc::default(),
-            links: LinkTable::default(),
+            last_link_number: Rc::default(),
+            table: LinkTable::default(),
             outboxes: BTreeMap::new(),
-            budget: TokenBucket::new(rate_per_s, rate_per_s * BURST_S, now),
+            byte_budget: TokenBucket::new(bytes_per_s, bytes_per_s * BURST_S, now),
         }
     }
 
-    /// Returns what tasks that open links need.
+    /// Returns a handle for tasks that open links.
     pub(super) fn opener(&self) -> LinkOpener {
-        LinkOpener { identity: Rc::clone(&self.identity), numbers: Rc::clone(&self.numbers) }
+        LinkOpener {
+            identity: Rc::clone(&self.identity),
+            last_link_number: Rc::clone(&self.last_link_number),
+        }
     }
 
-    /// Peers with an open link.
+    /// Returns the peers with an open link.
     pub fn peers(&self) -> impl Iterator<Item = &InstanceId> {
-        self.links.peers()
+        self.table.peers()
     }
 
-    /// Adds to what waits for each partner within the byte budget, but for `source`.
-    pub(super) fn queue(&mut self, source: Option<&InstanceId>, add: impl Fn(&mut Outbox)) {
+    /// Adds messages to the outbox of every linked peer except `source`.
+    pub(super) fn queue_for_all(&mut self, source: Option<&InstanceId>, add: impl Fn(&mut Outbox)) {
         let outboxes = self.outboxes.iter_mut().filter(|(peer, _)| Some(*peer) != source);
         outboxes.for_each(|(_, outbox)| add(outbox));
     }
 
-    /// Adds to what waits for one partner within the byte budget.
+    /// Adds messages to the outbox of one linked peer.
     pub(super) fn queue_for(&mut self, peer: &InstanceId, add: impl FnOnce(&mut Outbox)) {
         if let Some(outbox) = self.outboxes.get_mut(peer) {
             add(outbox);
         }
     }
 
-    /// Sends a message at once, outside the byte budget; returns whether it was sent.
+    /// Sends a message immediately, without charging the byte budget; returns whether it was sent.
     pub(super) fn send(&mut self, to: &InstanceId, message: &PartnerMessage) -> bool {
-        match self.links.send(to, message) {
+        match self.table.send(to, message) {
             SendOutcome::Sent(size_bytes) => {
                 self.metrics.link_sent_bytes.inc_by(size_bytes as u64);
                 return true;
@@ -144,12 +148,12 @@
         false
     }
 
-    /// Sends what waits as far as the byte budget allows.
-    fn send_waiting(&mut self, now: Instant) {
-        let peers: Vec<InstanceId> = self.links.peers().cloned().collect();
+    /// Sends messages of the outboxes as far as the byte budget and the links' queues allow.
+    fn send_queued(&mut self, now: Instant) {
+        let peers: Vec<InstanceId> = self.table.peers().cloned().collect();
         for peer in peers {
-            while self.budget.available_at(1.0, now) <= now {
-                if self.links.get(&peer).is_none_or(|link| link.outgoing.is_full()) {
+            while self.byte_budget.available_at(1.0, now) <= now {
+                if self.table.get(&peer).is_none_or(|link| link.outgoing.is_full()) {
                     break;
                 }
                 let outbox = self.outboxes.get_mut(&peer);
@@ -157,7 +161,7 @@
                 let before_bytes = self.metrics.link_sent_bytes.get();
                 self.send(&peer, &message);
                 let spent_bytes = self.metrics.link_sent_bytes.get() - before_bytes;
-                self.budget.take(spent_bytes as f64, now);
+                self.byte_budget.take(spent_bytes as f64, now);
             }
         }
     }
@@ -169,7 +173,7 @@
             dialed: opened.dialed,
             outgoing: opened.outgoing.clone(),
         };
-        let is_added = self.links.add(&self.membership.local_record().instance, peer, link);
+        let is_added = self.table.add(&self.membership.local_record().instance, peer, link);
         if is_added {
             self.outboxes.insert(peer.clone(), Outbox::default());
         }
@@ -177,38 +181,38 @@
     }
 
     fn remove(&mut self, peer: &InstanceId) {
-        self.links.remove(peer);
+        self.table.remove(peer);
         self.outboxes.remove(peer);
     }
 }
 
 impl ControlState {
-    /// Applies an event about links.
-    pub(super) fn apply_link(&mut self, event: LinkEvent, now: Instant) {
+    /// Applies an event of a link.
+    pub(super) fn apply_link_event(&mut self, event: LinkEvent, now: Instant) {
         match event {
-            LinkEvent::Opened(opened) => self.open_link(opened, now),
-            LinkEvent::Received { link, message } => self.receive(link, message, now),
-            LinkEvent::Ended { link, end } => self.end_link(link, &end, now),
+            LinkEvent::Opened(opened) => self.apply_link_opened(opened, now),
+            LinkEvent::Received { link, message } => self.receive_message(link, message, now),
+            LinkEvent::Ended { link, end } => self.apply_link_ended(link, &end, now),
             LinkEvent::DialFailed { address, error } => {
                 log::debug!("event=link_failed {error}");
-                self.advance_membership(MembershipEvent::DialFailed(address), now);
+                self.apply_membership_event(MembershipEvent::DialFailed(address), now);
             }
         }
-        self.links.send_waiting(now);
+        self.links.send_queued(now);
     }
 
-    /// Does the periodic work of links.
+    /// Does the periodic work of membership and links.
     pub(super) fn tick_links(&mut self, now: Instant) {
-        self.advance_membership(MembershipEvent::Tick, now);
-        self.links.send_waiting(now);
+        self.apply_membership_event(MembershipEvent::Tick, now);
+        self.links.send_queued(now);
     }
 
-    /// Tells partners that the node stops, and closes the links.
-    pub(super) fn leave_partners(&mut self, now: Instant) {
-        self.advance_membership(MembershipEvent::Leave, now);
+    /// Announces to partners that this node leaves, and closes the links.
+    pub(super) fn leave_membership(&mut self, now: Instant) {
+        self.apply_membership_event(MembershipEvent::Leave, now);
     }
 
-    fn open_link(&mut self, opened: OpenedLink, now: Instant) {
+    fn apply_link_opened(&mut self, opened: OpenedLink, now: Instant) {
         if !self.links.add(&opened) {
             return;
         }
@@ -219,23 +223,23 @@
             peer.address
         );
         let instance = peer.instance.clone();
-        self.advance_membership(MembershipEvent::LinkOpened { peer, dialed }, now);
-        self.greet(&instance);
+        self.apply_membership_event(MembershipEvent::LinkOpened { peer, dialed }, now);
+        self.sync_new_partner(&instance);
         self.update_power_partners(now);
     }
 
-    fn receive(&mut self, link: u64, received: ReceivedMessage, now: Instant) {
+    fn receive_message(&mut self, link: u64, received: ReceivedMessage, now: Instant) {
         self.links.metrics.link_received_bytes.inc_by(received.bytes as u64);
-        let Some(peer) = self.links.links.peer(link).cloned() else { return };
-        self.advance_membership(MembershipEvent::MessageReceived(peer.clone()), now);
-        self.advance_power(PowerEvent::PartnerContact(peer.clone()), now);
+        let Some(peer) = self.links.table.peer(link).cloned() else { return };
+        self.apply_membership_event(MembershipEvent::MessageReceived(peer.clone()), now);
+        self.apply_power_event(PowerEvent::PartnerContact(peer.clone()), now);
         if let Some(message) = received.message {
             self.apply_partner_message(&peer, message, now);
         }
     }
 
-    fn end_link(&mut self, link: u64, end: &LinkEnd, now: Instant) {
-        let Some(peer) = self.links.links.peer(link).cloned() else { return };
+    fn apply_link_ended(&mut self, link: u64, end: &LinkEnd, now: Instant) {
+        let Some(peer) = self.links.table.peer(link).cloned() else { return };
         let graceful = match end {
             LinkEnd::Closed => true,
             LinkEnd::Broken(error) => {
@@ -244,11 +248,11 @@
             }
         };
         self.links.remove(&peer);
-        self.advance_membership(MembershipEvent::LinkClosed { peer, graceful }, now);
+        self.apply_membership_event(MembershipEvent::LinkClosed { peer, graceful }, now);
     }
 
-    /// Applies an event to the membership and carries out its commands.
-    pub(super) fn advance_membership(&mut self, event: MembershipEvent, now: Instant) {
+    /// Applies an event to the membership and executes the resulting commands.
+    pub(super) fn apply_membership_event(&mut self, event: MembershipEvent, now: Instant) {
         for command in self.links.membership.apply(event, now) {
             match command {
                 MembershipCommand::Dial(address) => {
@@ -269,33 +273,33 @@
             }
         }
         self.links.identity.borrow_mut().record = self.links.membership.local_record().clone();
-        self.note_live_nodes(now);
+        self.update_live_nodes(now);
     }
 
-    /// Closes a link once what waits for it has been handed over.
+    /// Closes a link, after sending the messages of its outbox that the byte budget allows.
     fn close_link(&mut self, peer: &InstanceId, now: Instant) {
-        self.links.send_waiting(now);
+        self.links.send_queued(now);
         self.links.remove(peer);
     }
 }
 
-/// What a task that opens links needs.
+/// Handle for tasks that open and run links.
 pub(super) struct LinkOpener {
     identity: Rc<RefCell<Identity>>,
-    numbers: Rc<RefCell<u64>>,
+    last_link_number: Rc<RefCell<u64>>,
 }
 
 impl LinkOpener {
-    /// Identity as it is now.
+    /// Returns the current identity of this node.
     pub(super) fn identity(&self) -> Identity {
         self.identity.borrow().clone()
     }
 
-    /// Runs an open link until it ends.
+    /// Runs an open link until it ends, and sends its events to the control loop.
     pub(super) async fn run(&self, context: &ControlContext, link: Link, dialed: bool) {
         let number = self.next_number();
         let peer = link.peer().clone();
-        let (outgoing, outgoing_queue) = async_channel::bounded(LINK_QUEUE);
+        let (outgoing, outgoing_queue) = async_channel::bounded(LINK_QUEUE_MESSAGES);
         let (incoming, incoming_queue) = async_channel::bounded(1);
         let opened = OpenedLink { number, peer, dialed, outgoing };
         context.send(ControlEvent::Link(LinkEvent::Opened(opened))).await;
@@ -306,15 +310,15 @@
             }
         };
         let exchange = link.run(outgoing_queue, incoming);
-        // What was received before the end of the link is still forwarded.
+        // Messages received before the link ended are forwarded before its end is.
         let (end, ()) = futures_lite::future::zip(exchange, forward).await;
         context.send(ControlEvent::Link(LinkEvent::Ended { link: number, end })).await;
     }
 
     fn next_number(&self) -> u64 {
-        let mut numbers = self.numbers.borrow_mut();
-        *numbers += 1;
-        *numbers
+        let mut last_link_number = self.last_link_number.borrow_mut();
+        *last_link_number += 1;
+        *last_link_number
     }
 }
 
@@ -328,5 +332,5 @@
     }
 }
 
-/// Time to wait after a connection could not be accepted.
-pub(super) const ACCEPT_RETRY: Duration = Duration::from_millis(50);
+/// Delay before the next accept after one has failed.
+pub(super) const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
--- a/src/control/log_status.rs
+++ b/src/control/log_status.rs
@@ -1,4 +1,4 @@
-//! Records where the node stands in each log stream, for operators.
+//! Progress and failures of the reads of each log stream, for the administration API and metrics.
 
 use super::ControlState;
 use crate::metrics::{PeerLabels, StreamLabels};
@@ -9,11 +9,11 @@
 
 impl ControlState {
     /// Records a successful read of `stream`.
-    pub(super) fn note_log_read(&mut self, stream: LogStream, page: &LogPage, now: Instant) {
+    pub(super) fn record_log_read(&mut self, stream: LogStream, page: &LogPage, now: Instant) {
         let name: &'static str = stream.into();
         let status = Arc::make_mut(&mut self.admin).streams.entry(name).or_default();
-        let read_to = page.records.last().map_or(0, |record| record.offset + 1);
-        status.next_offset = status.next_offset.max(read_to);
+        let next_offset = page.records.last().map_or(0, |record| record.offset + 1);
+        status.next_offset = status.next_offset.max(next_offset);
         status.read_at = Some(now);
         if status.error.take().is_some() {
             log::info!("event=log_read_again stream={stream}");
@@ -26,8 +26,9 @@
         metrics.log_read_timestamp_seconds.get_or_create(&labels).set(unix_time.as_secs_f64());
     }
 
-    /// Records a failed read of `stream`; only the first failure in a row is logged as a warning.
-    pub(super) fn note_log_failure(&mut self, stream: LogStream, error: &PeerError) {
+    /// Records a failed read of `stream`. Only the first of several consecutive failures is logged as
+    /// a warning.
+    pub(super) fn record_log_read_failure(&mut self, stream: LogStream, error: &PeerError) {
         let name: &'static str = stream.into();
         let status = Arc::make_mut(&mut self.admin).streams.entry(name).or_default();
         let is_first = status.error.is_none();
--- a/src/control/mod.rs
+++ b/src/control/mod.rs
@@ -1,7 +1,7 @@
-//! The control thread: owns all control state and publishes immutable snapshots.
+//! The control thread: owns all control state and publishes immutable snapshots of it.
 //!
-//! Tasks on the same thread do the exchanges and send what they learn as [`ControlEvent`]s; one
-//! loop applies the events, so that no state is shared.
+//! Tasks on the same thread do the I/O and send the results as [`ControlEvent`]s. A single loop
+//! applies the events, so no state is shared between tasks.
 
 pub mod admin;
 pub mod claims;
@@ -35,7 +35,7 @@
 use smol::Timer;
 use std::time::{Duration, Instant};
 
-/// Period of the control loop's own work.
+/// Period of [`ControlEvent::Tick`].
 const TICK_PERIOD: Duration = Duration::from_millis(100);
 
 /// Applies events until their channel closes.
--- a/src/control/partners.rs
+++ b/src/control/partners.rs
@@ -1,5 +1,5 @@
-//! What travels over partner links: strikes, leaving servers, power, and the configuration for a
-//! node that cannot read the log.
+//! Messages of partners, and the state that partners share: strikes, leaving servers, the number
+//! of live nodes, and the configuration for nodes that cannot read the log.
 
 use super::ControlState;
 use crate::decision::configuration::{ConfigurationAnnouncement, ConfigurationEvent};
@@ -15,22 +15,22 @@
 use std::time::{Duration, Instant};
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Time before the configuration is asked for again.
-const CONFIGURATION_RETRY: Duration = Duration::from_secs(1);
+/// Minimum time between two requests for a partner's configuration.
+const CONFIGURATION_REQUEST_PERIOD: Duration = Duration::from_secs(1);
 
-/// What the parts of the control thread learn from and tell partners.
+/// State of the exchange of configurations with partners.
 #[derive(Debug, Default)]
-pub struct PartnerExchange {
+pub struct ConfigurationExchange {
     /// Whether the last read of the configuration stream failed.
-    pub(super) log_failed: bool,
-    /// What partners last said of their configuration.
+    pub(super) log_read_failed: bool,
+    /// Latest announcement of each partner.
     pub(super) announcements: BTreeMap<InstanceId, ConfigurationAnnouncement>,
-    /// When the configuration may be asked for again.
+    /// Earliest time of the next request, none before the first.
     next_request_at: Option<Instant>,
 }
 
 impl ControlState {
-    /// Applies a message of a partner.
+    /// Applies a message from a partner.
     pub(super) fn apply_partner_message(
         &mut self,
         peer: &InstanceId,
@@ -39,19 +39,19 @@
     ) {
         match message {
             PartnerMessage::Ping { digest, configuration } => {
-                self.partners.announcements.insert(peer.clone(), configuration);
+                self.configuration_exchange.announcements.insert(peer.clone(), configuration);
                 let event = MembershipEvent::Ping { peer: peer.clone(), digest };
-                self.advance_membership(event, now);
+                self.apply_membership_event(event, now);
                 self.request_configuration(peer, configuration, now);
-                self.read_if_ahead(configuration);
+                self.read_if_partner_ahead(configuration);
             }
             PartnerMessage::Members(records) => {
                 let event = MembershipEvent::Records { peer: peer.clone(), records };
-                self.advance_membership(event, now);
+                self.apply_membership_event(event, now);
             }
             PartnerMessage::Strikes(strikes) => self.add_strikes(Some(peer), strikes, now),
             PartnerMessage::Leaving(notices) => {
-                self.advance_leaving(Some(peer), LeavingEvent::PartnerNotices(notices), now);
+                self.apply_leaving_event(Some(peer), LeavingEvent::PartnerNotices(notices), now);
             }
             PartnerMessage::Power(message) => {
                 self.apply_power_message(peer, message, now);
@@ -71,8 +71,8 @@
         }
     }
 
-    /// Tells a partner that has just connected what it may not know.
-    pub(super) fn greet(&mut self, peer: &InstanceId) {
+    /// Sends a ping, the leaving servers and the strikes to a newly connected partner.
+    pub(super) fn sync_new_partner(&mut self, peer: &InstanceId) {
         let digest = self.links.membership.digest();
         let configuration = self.configuration.announcement();
         self.links.send(peer, &PartnerMessage::Ping { digest, configuration });
@@ -84,7 +84,7 @@
         });
     }
 
-    /// Adds strikes and tells the partners of new ones.
+    /// Adds strikes and forwards new ones to the partners, except to `source`.
     pub(super) fn add_strikes(
         &mut self,
         source: Option<&InstanceId>,
@@ -94,24 +94,25 @@
         let new: Vec<Strike> =
             strikes.into_iter().filter(|strike| self.poison.add(strike.clone(), now)).collect();
         if !new.is_empty() {
-            self.links.queue(source, |outbox| outbox.add_strikes(new.clone()));
+            self.links.queue_for_all(source, |outbox| outbox.add_strikes(new.clone()));
         }
     }
 
-    /// Applies the instance list: seeds of partner links and leaving servers.
+    /// Applies the instance list: live nodes are seeds of partner links, and servers may be leaving.
     pub(super) fn apply_instances(&mut self, instances: Vec<InstanceRecord>, now: Instant) {
-        let listed = instances
+        let seeds = instances
             .iter()
             .filter(|instance| instance.kind == InstanceKind::Entry)
             .filter(|instance| instance.state == InstanceState::Live)
             .map(|instance| instance.address)
             .collect();
-        self.advance_membership(MembershipEvent::SeedAddresses(listed), now);
-        self.advance_leaving(None, LeavingEvent::InstanceList(instances), now);
+        self.apply_membership_event(MembershipEvent::SeedAddresses(seeds), now);
+        self.apply_leaving_event(None, LeavingEvent::InstanceList(instances), now);
     }
 
-    /// Applies an event about leaving servers and tells routing and partners what changed.
-    pub(super) fn advance_leaving(
+    /// Applies an event about leaving servers. Changes are passed to routing and placement, and to
+    /// the partners except `source`.
+    pub(super) fn apply_leaving_event(
         &mut self,
         source: Option<&InstanceId>,
         event: LeavingEvent,
@@ -135,24 +136,25 @@
                 LeavingChange::Returned(server) => log::info!("event=server_back server={server}"),
             }
         }
-        self.links.queue(source, |outbox| outbox.add_leaving(notices.clone()));
+        self.links.queue_for_all(source, |outbox| outbox.add_leaving(notices.clone()));
         self.routing.apply(RoutingEvent::Leaving(self.leaving.leaving_servers()), now);
         self.placement.apply(PlacementEvent::LeavingServers(self.leaving.leaving_servers()), now);
     }
 
-    /// Keeps leaving servers polled, so that a new incarnation is noticed.
+    /// Does the periodic work of leaving servers. They are polled as servers in use, so that a new
+    /// incarnation is detected.
     pub(super) fn tick_leaving(&mut self, now: Instant) {
-        self.advance_leaving(None, LeavingEvent::Tick, now);
+        self.apply_leaving_event(None, LeavingEvent::Tick, now);
         for server in self.leaving.leaving_servers() {
             self.server_polls.planner.mark_used(&server, now);
         }
     }
 
-    /// Spreads a change of the number of live nodes to the parts that share by it.
-    pub(super) fn note_live_nodes(&mut self, now: Instant) {
+    /// Updates the rank of this node and, if it changed, the number of live nodes.
+    pub(super) fn update_live_nodes(&mut self, now: Instant) {
         let live_nodes = self.links.membership.live_nodes();
         self.context.metrics.live_nodes.set(live_nodes.into());
-        self.node_rank = self.find_rank(live_nodes);
+        self.node_rank = self.compute_node_rank(live_nodes);
         if live_nodes == self.live_nodes {
             return;
         }
@@ -161,22 +163,23 @@
         self.context.live_nodes.set(live_nodes);
         self.routing.apply(RoutingEvent::LiveNodes(live_nodes), now);
         self.placement.apply(PlacementEvent::LiveNodes(live_nodes), now);
-        self.share_claim_appends(live_nodes, now);
+        self.update_claims_live_nodes(live_nodes, now);
     }
 
-    /// Returns the rank of this node among the live ones; nodes that know of no other differ by
-    /// their names alone.
-    fn find_rank(&self, live_nodes: u32) -> u32 {
-        let own = &self.links.membership.local_record().instance;
+    /// Returns the rank of this node among the live nodes by instance id. While no other node is
+    /// known, it is a hash of the id, so that nodes without links still get different ranks.
+    fn compute_node_rank(&self, live_nodes: u32) -> u32 {
+        let local = &self.links.membership.local_record().instance;
         if live_nodes <= 1 {
-            return (xxh3_64(own.as_bytes()) >> 32) as u32;
+            return (xxh3_64(local.as_bytes()) >> 32) as u32;
         }
         let members = self.links.membership.live_members();
-        let before = members.filter(|member| member.instance < *own).count();
-        u32::try_from(before).unwrap_or(u32::MAX)
+        let lower_ids = members.filter(|member| member.instance < *local).count();
+        u32::try_from(lower_ids).unwrap_or(u32::MAX)
     }
 
-    /// Asks a partner for its configuration if it is ahead and the log does not help.
+    /// Requests the configuration of a partner that has read further, unless this node can read it
+    /// from the log or has requested one recently.
     fn request_configuration(
         &mut self,
         peer: &InstanceId,
@@ -184,15 +187,18 @@
         now: Instant,
     ) {
         let above = self.configuration.announcement().offset;
-        let log_helps = !self.partners.log_failed && self.configuration.state().is_some();
-        let is_early = self.partners.next_request_at.is_some_and(|at| now < at);
-        if announced.offset <= above || log_helps || is_early {
+        let can_read_log =
+            !self.configuration_exchange.log_read_failed && self.configuration.state().is_some();
+        let is_early = self.configuration_exchange.next_request_at.is_some_and(|at| now < at);
+        if announced.offset <= above || can_read_log || is_early {
             return;
         }
-        self.partners.next_request_at = Some(now + CONFIGURATION_RETRY);
+        self.configuration_exchange.next_request_at = Some(now + CONFIGURATION_REQUEST_PERIOD);
         self.links.send(peer, &PartnerMessage::ConfigurationRequest { above });
     }
 
+    /// Sends the configuration to a partner that has folded the records up to offset `above`, if this
+    /// node has folded more.
     fn send_configuration(&mut self, peer: &InstanceId, above: u64) {
         let Some(copy) = self.configuration.partner_copy() else { return };
         if copy.state.applied > above {
--- a/src/control/placement.rs
+++ b/src/control/placement.rs
@@ -1,4 +1,4 @@
-//! Placement: gives the orders that the decision plans, while this node holds the lease.
+//! Placement: sends the planned orders to backend servers while this node holds the lease.
 
 use super::{ControlContext, ControlEvent, ControlState, poll_tasks};
 use crate::decision::leases::{HeldLease, LeaseKind};
@@ -10,19 +10,19 @@
 use std::net::SocketAddr;
 use std::time::Instant;
 
-/// Answer of a server to an order.
+/// Answer of a server to an order, or its failure.
 #[derive(Debug)]
 pub struct OrderAnswer {
     /// Server.
     pub server: ServerId,
     /// Fencing number of the order.
     pub fencing_number: LogOffset,
-    /// Answer, or an error after which the order may still take effect.
+    /// Outcome that the server reported, or an error after which the order may still take effect.
     pub result: PeerResult<OrderOutcome>,
 }
 
 impl ControlState {
-    /// Plans and gives orders.
+    /// Polls servers and sends the orders that are due.
     pub(super) fn tick_placement(&mut self, now: Instant) {
         let held = self.held_lease(LeaseKind::Placement);
         for command in self.placement.apply(PlacementEvent::Tick(held), now) {
@@ -40,14 +40,14 @@
                     let labels = ReasonLabels { reason: reason.to_string() };
                     self.context.metrics.placement_orders.get_or_create(&labels).inc();
                     let context = self.context.clone();
-                    self.context.spawn(give_order(context, held, server, address, order));
+                    self.context.spawn(send_order(context, held, server, address, order));
                 }
             }
         }
     }
 
-    /// Takes in a server's report.
-    pub(super) fn place_by_report(
+    /// Applies a load report to placement.
+    pub(super) fn apply_placement_report(
         &mut self,
         server: &ServerId,
         report: &LoadReport,
@@ -58,13 +58,13 @@
         self.placement.apply(PlacementEvent::Report { server, report, polled_at }, now);
     }
 
-    /// Takes in that a server did not report.
-    pub(super) fn place_without_report(&mut self, server: &ServerId, now: Instant) {
+    /// Applies a failed poll for a load report to placement.
+    pub(super) fn apply_placement_poll_failure(&mut self, server: &ServerId, now: Instant) {
         self.placement.apply(PlacementEvent::PollFailed { server: server.clone() }, now);
     }
 
-    /// Takes in the work of an answer.
-    pub(super) fn place_by_answer(&mut self, feedback: &AnswerFeedback, now: Instant) {
+    /// Adds the work of a completed answer to the demand; answers without timing are ignored.
+    pub(super) fn apply_placement_answer(&mut self, feedback: &AnswerFeedback, now: Instant) {
         let Some(timing) = &feedback.timing else { return };
         let decode = timing.ended_at.saturating_duration_since(timing.first_token_at);
         let event = PlacementEvent::AnswerCompleted {
@@ -75,7 +75,7 @@
         self.placement.apply(event, now);
     }
 
-    /// Takes in the answer to an order.
+    /// Applies the answer to an order.
     pub(super) fn apply_order_answer(&mut self, answer: OrderAnswer, now: Instant) {
         let OrderAnswer { server, fencing_number, result } = answer;
         match result {
@@ -97,8 +97,8 @@
     }
 }
 
-/// Gives an order unless the lease has lapsed meanwhile.
-async fn give_order(
+/// Sends an order, unless the lease has lapsed meanwhile, and reports the answer.
+async fn send_order(
     context: ControlContext,
     held: HeldLease,
     server: ServerId,
@@ -112,12 +112,12 @@
     }
     let result = context.engines.order(address, order).await;
     let answer = OrderAnswer { server, fencing_number, result };
-    context.send(ControlEvent::Ordered(answer)).await;
+    context.send(ControlEvent::OrderAnswered(answer)).await;
 }
 
 fn log_order(server: &ServerId, order: &EngineOrder, reason: PlacementReason) {
     let EngineOrderKind::ServeModels { models } = &order.kind;
-    let models: Vec<String> = models.iter().map(describe).collect();
+    let models: Vec<String> = models.iter().map(format_model).collect();
     log::info!(
         "event=placement_order server={server} models={} reason={reason} fencing_number={}",
         models.join(","),
@@ -125,7 +125,7 @@
     );
 }
 
-fn describe(loaded: &LoadedModel) -> String {
+fn format_model(loaded: &LoadedModel) -> String {
     let LoadedModel { model, weights_version, adapters } = loaded;
     if adapters.is_empty() {
         return format!("{model}@{weights_version}");
--- a/src/control/poison.rs
+++ b/src/control/poison.rs
@@ -1,4 +1,4 @@
-//! Strikes: confirms crashes of servers and keeps what follows from them.
+//! Strikes: checks whether servers that interrupted answers crashed, and adds strikes if so.
 
 use super::{ControlContext, ControlEvent, ControlState};
 use crate::decision::poison::{Fingerprint, Strike};
@@ -8,14 +8,15 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-/// Most checks of one crash.
-const CHECKS: u32 = 5;
+/// Maximum number of polls to confirm one crash.
+const MAX_CRASH_CHECKS: u32 = 5;
 
-/// Period between two checks of a crash.
-const CHECK_PERIOD: Duration = Duration::from_millis(50);
+/// Time between two polls to confirm a crash.
+const CRASH_CHECK_PERIOD: Duration = Duration::from_millis(50);
 
 impl ControlState {
-    /// Looks whether a server that broke off an answer crashed.
+    /// Starts a check of whether the server that interrupted an answer crashed. Without the
+    /// incarnation that ran the request there is no check, as a restart would not show.
     pub(super) fn check_crash(
         &self,
         server: ServerId,
@@ -31,7 +32,7 @@
         self.context.spawn(confirm_crash(self.context.clone(), strike, address));
     }
 
-    /// Adds the strike of a confirmed crash.
+    /// Applies the result of a check: a confirmed crash adds the strike.
     pub(super) fn apply_crash_check(&mut self, strike: Strike, crashed: bool, now: Instant) {
         if !crashed {
             return;
@@ -48,19 +49,19 @@
 
 async fn confirm_crash(context: ControlContext, strike: Strike, address: SocketAddr) {
     let mut crashed = None;
-    for _ in 0..CHECKS {
+    for _ in 0..MAX_CRASH_CHECKS {
         crashed = has_crashed(&context.engines.load(address).await, strike.incarnation);
         if crashed.is_some() {
             break;
         }
-        Timer::after(CHECK_PERIOD).await;
+        Timer::after(CRASH_CHECK_PERIOD).await;
     }
     let crashed = crashed.unwrap_or(false);
     context.send(ControlEvent::CrashChecked { strike, crashed }).await;
 }
 
-/// Returns whether a report shows that `incarnation` is gone, none if it shows nothing: a server
-/// that cannot be reached may have been cut off only.
+/// Whether the server no longer runs `incarnation`, none if `report` does not show it: an
+/// unreachable server may only be partitioned from this node.
 fn has_crashed(report: &PeerResult<LoadReport>, incarnation: Incarnation) -> Option<bool> {
     match report {
         Ok(report) => Some(report.incarnation != incarnation),
--- a/src/control/poll_tasks.rs
+++ b/src/control/poll_tasks.rs
@@ -1,4 +1,4 @@
-//! Periodic exchanges with the instance list and the backend servers.
+//! Tasks that read the instance list, poll backend servers and query the KV store.
 
 use super::{ControlContext, ControlEvent};
 use crate::decision::routing::StoredPrefix;
@@ -8,12 +8,12 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-/// Reads the instance list periodically, without end.
+/// Reads the instance list periodically, forever.
 pub async fn poll_instance_list(context: ControlContext) {
     let period = Duration::from_millis(context.settings.control.instance_list_period_ms);
     loop {
         match context.instance_list.list().await {
-            Ok(instances) => context.send(ControlEvent::Instances(instances)).await,
+            Ok(instances) => context.send(ControlEvent::InstanceListRead(instances)).await,
             Err(error) => {
                 let labels = PeerLabels::new("instance_list", &error);
                 context.metrics.peer_errors.get_or_create(&labels).inc();
@@ -24,17 +24,17 @@
     }
 }
 
-/// Asks `server` once for its load.
+/// Polls `server` once for its load report.
 pub async fn poll_load(context: ControlContext, server: ServerId, address: SocketAddr) {
-    let asked_at = Instant::now();
+    let polled_at = Instant::now();
     let event = match context.engines.load(address).await {
-        Ok(report) => ControlEvent::Load { server, report, asked_at },
-        Err(error) => ControlEvent::LoadFailed { server, error },
+        Ok(report) => ControlEvent::LoadReported { server, report, polled_at },
+        Err(error) => ControlEvent::LoadReportFailed { server, error },
     };
     context.send(event).await;
 }
 
-/// Asks `server` once for its cache events from sequence number `from` on.
+/// Polls `server` once for its cache events from sequence number `from` on.
 pub async fn poll_cache_events(
     context: ControlContext,
     server: ServerId,
@@ -48,14 +48,14 @@
     context.send(event).await;
 }
 
-/// Asks the KV store once what it keeps under `keys`.
-pub async fn poll_kept_prefixes(context: ControlContext, keys: Vec<u64>) {
+/// Queries the KV store once for the tokens stored under each of `keys`.
+pub async fn query_stored_prefixes(context: ControlContext, keys: Vec<u64>) {
     let Some(kv_store) = &context.kv_store else { return };
     match kv_store.kept_tokens(&keys).await {
         Ok(tokens) => {
-            let kept = keys.into_iter().zip(tokens);
-            let kept = kept.map(|(key, tokens)| StoredPrefix { key, tokens }).collect();
-            context.send(ControlEvent::KeptPrefixes(kept)).await;
+            let pairs = keys.into_iter().zip(tokens);
+            let prefixes = pairs.map(|(key, tokens)| StoredPrefix { key, tokens }).collect();
+            context.send(ControlEvent::StoredPrefixes(prefixes)).await;
         }
         Err(error) => log::warn!("event=kv_store_failed {error}"),
     }
--- a/src/control/power.rs
+++ b/src/control/power.rs
@@ -1,5 +1,5 @@
-//! Power: carries the decision's records to the log, its messages to partners, and its cuts to
-//! running attempts.
+//! Power: executes the commands of the power decision, which append records, send messages to
+//! partners, probe instances and shed running attempts.
 
 use super::leases::append_record;
 use super::{ControlContext, ControlEvent, ControlState};
@@ -17,21 +17,24 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// Longest time that a probe takes.
+/// Maximum duration of a probe.
 const PROBE_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Power state and the figures last logged.
+/// Power state, and the inputs and log values of which only changes matter.
 #[derive(Debug)]
 pub struct PowerControl {
     state: PowerState,
+    /// Parts of the share at the last log line.
     logged_parts: u64,
+    /// Partners last passed to `state`.
     partners: Vec<InstanceId>,
+    /// Number of live nodes last passed to `state`.
     live_nodes: u32,
 }
 
 impl PowerControl {
-    /// Returns the power of a node that has just started and listens for partners on
-    /// `partner_address` until it ends.
+    /// Returns the state of a newly started node, which must listen for partners on
+    /// `partner_address` for as long as it runs.
     pub fn new(context: &ControlContext, partner_address: SocketAddr, now: Instant) -> Self {
         let settings = PowerSettings {
             work_limit_ms: context.settings.limits.request_timeout_ms,
@@ -47,20 +50,20 @@
         Self { state, logged_parts: 0, partners: Vec::new(), live_nodes: 0 }
     }
 
-    /// Returns the node's figures at `now`.
-    pub fn figures(&self, now: Instant) -> PowerStats {
+    /// Returns the node's allocation and usage of power at `now`.
+    pub fn stats(&self, now: Instant) -> PowerStats {
         self.state.stats(now)
     }
 }
 
 impl ControlState {
-    /// Folds in records of the stream `power`.
+    /// Folds the records of a page of the stream `power`.
     pub(super) fn apply_power_page(&mut self, page: LogPage, now: Instant) {
         let from = self.power.state.next_offset();
-        self.advance_power(PowerEvent::Page { page, from }, now);
+        self.apply_power_event(PowerEvent::Page { page, from }, now);
     }
 
-    /// Applies a message of a partner.
+    /// Applies a message from a partner.
     pub(super) fn apply_power_message(
         &mut self,
         peer: &InstanceId,
@@ -68,17 +71,17 @@
         now: Instant,
     ) {
         log_transfer("received", peer, &message);
-        self.advance_power(PowerEvent::Message { from: peer.clone(), message }, now);
+        self.apply_power_event(PowerEvent::Message { from: peer.clone(), message }, now);
     }
 
-    /// Takes in that the process of an instance has ended.
-    pub(super) fn end_instance(&mut self, instance: InstanceId, now: Instant) {
+    /// Applies the end of the process of an instance.
+    pub(super) fn apply_instance_ended(&mut self, instance: InstanceId, now: Instant) {
         log::info!("event=instance_ended instance={instance}");
-        self.advance_power(PowerEvent::InstanceEnded(instance), now);
+        self.apply_power_event(PowerEvent::InstanceEnded(instance), now);
     }
 
-    /// Takes in that a server may be idle.
-    pub(super) fn note_idle(
+    /// Reports the server to the power decision if its load report shows no requests.
+    pub(super) fn report_if_idle(
         &mut self,
         server: &ServerId,
         report: &LoadReport,
@@ -87,27 +90,27 @@
     ) {
         if report.running_requests == 0 && report.waiting_requests == 0 {
             let server = server.clone();
-            self.advance_power(PowerEvent::ServerIdle { server, polled_at }, now);
+            self.apply_power_event(PowerEvent::ServerIdle { server, polled_at }, now);
         }
     }
 
-    /// Does the periodic work of power.
+    /// Does the periodic work of power allocation.
     pub(super) fn tick_power(&mut self, now: Instant) {
         self.update_power_partners(now);
-        self.advance_power(PowerEvent::Tick, now);
-        self.export_power(now);
+        self.apply_power_event(PowerEvent::Tick, now);
+        self.update_power_metrics(now);
     }
 
-    fn export_power(&self, now: Instant) {
-        let figures = self.power.figures(now);
+    fn update_power_metrics(&self, now: Instant) {
+        let stats = self.power.stats(now);
         let metrics = &self.context.metrics;
-        metrics.power_share_watts.set(gauge_value(figures.allowed_watts));
-        metrics.power_committed_watts.set(gauge_value(figures.committed_watts));
-        metrics.power_given_watts.set(gauge_value(figures.given_watts));
-        metrics.power_received_watts.set(gauge_value(figures.received_watts));
+        metrics.power_share_watts.set(gauge_value(stats.allowed_watts));
+        metrics.power_committed_watts.set(gauge_value(stats.committed_watts));
+        metrics.power_given_watts.set(gauge_value(stats.given_watts));
+        metrics.power_received_watts.set(gauge_value(stats.received_watts));
     }
 
-    /// Takes in the partners with an open link and the number of live nodes, if they changed.
+    /// Passes the linked partners and the number of live nodes to the power decision if they changed.
     pub(super) fn update_power_partners(&mut self, now: Instant) {
         let partners: Vec<InstanceId> = self.links.peers().cloned().collect();
         let live_nodes = self.live_nodes;
@@ -116,11 +119,11 @@
         }
         self.power.partners.clone_from(&partners);
         self.power.live_nodes = live_nodes;
-        self.advance_power(PowerEvent::Membership { partners, live_nodes }, now);
+        self.apply_power_event(PowerEvent::Membership { partners, live_nodes }, now);
     }
 
-    /// Applies an event and carries out what follows.
-    pub(super) fn advance_power(&mut self, event: PowerEvent, now: Instant) {
+    /// Applies an event to the power decision and executes the resulting commands.
+    pub(super) fn apply_power_event(&mut self, event: PowerEvent, now: Instant) {
         for command in self.power.state.apply(event, now) {
             match command {
                 PowerCommand::Append(record) => {
@@ -147,20 +150,21 @@
         self.log_share(now);
     }
 
+    /// Logs the stats if the size of the share changed.
     fn log_share(&mut self, now: Instant) {
-        let figures = self.power.figures(now);
-        if figures.held_parts == self.power.logged_parts {
+        let stats = self.power.stats(now);
+        if stats.held_parts == self.power.logged_parts {
             return;
         }
-        self.power.logged_parts = figures.held_parts;
+        self.power.logged_parts = stats.held_parts;
         log::info!(
             "event=power_share parts={} allowed_watts={} committed_watts={} given_watts={} \
              received_watts={}",
-            figures.held_parts,
-            figures.allowed_watts,
-            figures.committed_watts,
-            figures.given_watts,
-            figures.received_watts,
+            stats.held_parts,
+            stats.allowed_watts,
+            stats.committed_watts,
+            stats.given_watts,
+            stats.received_watts,
         );
     }
 }
@@ -169,7 +173,7 @@
     i64::try_from(watts).unwrap_or(i64::MAX)
 }
 
-/// Tells control if the address of `instance` refuses connections.
+/// Probes the address of `instance` and reports its end if it refuses connections.
 async fn probe(context: ControlContext, instance: InstanceId, address: SmolStr) {
     let Ok(address) = address.parse::<SocketAddr>() else { return };
     let deadline = Instant::now() + PROBE_TIMEOUT;
@@ -179,6 +183,7 @@
     }
 }
 
+/// Logs a message about power that was sent to or received from `peer`.
 fn log_transfer(direction: &str, peer: &InstanceId, message: &PowerMessage) {
     match message {
         PowerMessage::Ask { ask, parts, needed_ms, .. } => {
--- a/src/control/snapshot.rs
+++ b/src/control/snapshot.rs
@@ -1,4 +1,4 @@
-//! Snapshot of the control state that traffic threads decide on.
+//! Immutable snapshots of the control state, read by the traffic threads.
 
 use crate::admin::AdminView;
 use crate::decision::poison::PoisonView;
@@ -14,28 +14,28 @@
 pub struct Snapshot {
     /// Document in force, none before the first one is known.
     pub document: Option<Arc<Document>>,
-    /// Workspaces by key hash.
+    /// Workspaces by the hashes of their API keys.
     pub api_keys: Arc<ApiKeyIndex>,
-    /// View for routing decisions.
+    /// View of the routing state.
     pub routing: RoutingView,
-    /// Strikes of requests that crashed servers.
+    /// View of the strikes against requests that crashed servers.
     pub poison: PoisonView,
-    /// Live nodes, this one included.
+    /// Estimated number of live nodes, this one included.
     pub live_nodes: u32,
     /// View for the administration API.
     pub admin: Arc<AdminView>,
-    /// Rank of this node among the live nodes.
+    /// Rank of this node among the live nodes, from 0; a hash while no other node is known.
     pub node_rank: u32,
 }
 
-/// Workspaces by the hash of their bearer keys.
+/// Workspaces by the hashes of their API keys.
 #[derive(Clone, Debug, Default)]
 pub struct ApiKeyIndex {
     workspaces: HashMap<SmolStr, WorkspaceId>,
 }
 
 impl ApiKeyIndex {
-    /// Returns the index of `document`.
+    /// Returns the index of the workspaces of `document`.
     pub fn new(document: &Document) -> Self {
         let pairs = document.workspaces.iter().flat_map(|(name, workspace)| {
             workspace.key_hashes.iter().map(|hash| (hash.clone(), name.clone()))
@@ -43,7 +43,7 @@
         Self { workspaces: pairs.collect() }
     }
 
-    /// Returns the workspace whose key has the SHA-256 `hash`.
+    /// Returns the workspace that has an API key with this SHA-256 hash.
     pub fn workspace(&self, hash: &str) -> Option<&WorkspaceId> {
         self.workspaces.get(hash)
     }
--- a/src/control/state.rs
+++ b/src/control/state.rs
@@ -3,7 +3,7 @@
 use super::claims::ClaimsControl;
 use super::configuration_read::ConfigurationRead;
 use super::links::LinksControl;
-use super::partners::PartnerExchange;
+use super::partners::ConfigurationExchange;
 use super::power::PowerControl;
 use super::server_polls::ServerPolls;
 use super::snapshot::ApiKeyIndex;
@@ -26,39 +26,46 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// Time between reads of the streams of leases and power shares.
-const HOLD_READ_PERIOD: Duration = Duration::from_millis(500);
+/// Period of reads of the streams `leases` and `power` while there are few nodes.
+const LEASE_READ_PERIOD: Duration = Duration::from_millis(500);
 
 /// All state of the control thread.
 pub struct ControlState {
     pub(super) context: ControlContext,
     pub(super) configuration: ConfigurationFollower,
+    /// State of the extra reads of the configuration stream.
     pub(super) configuration_read: ConfigurationRead,
     pub(super) routing: RoutingState,
     pub(super) server_polls: ServerPolls,
     pub(super) poison: PoisonState,
+    /// Document in force.
     pub(super) document: Option<Arc<Document>>,
     pub(super) api_keys: Arc<ApiKeyIndex>,
+    /// Estimated number of live nodes, this one included.
     pub(super) live_nodes: u32,
+    /// View for the administration API.
     pub(super) admin: Arc<AdminView>,
+    /// Rank of this node among the live nodes.
     pub(super) node_rank: u32,
     pub(super) claims: ClaimsControl,
     pub(super) links: LinksControl,
+    /// Backend servers that are leaving.
     pub(super) leaving: LeavingState,
-    pub(super) partners: PartnerExchange,
+    pub(super) configuration_exchange: ConfigurationExchange,
     pub(super) leases: LeaseState,
     pub(super) placement: PlacementState,
     pub(super) power: PowerControl,
     pub(super) is_stopping: bool,
-    pub(super) snapshots: SnapshotSchedule,
-    pub(super) next_admin_at: Option<Instant>,
+    /// Schedule of the configuration snapshots that the holder of their lease appends.
+    pub(super) snapshot_schedule: SnapshotSchedule,
+    /// When the administration view is updated next, none before the first update.
+    pub(super) next_admin_publish_at: Option<Instant>,
+    /// Latest published snapshot.
     snapshot: Arc<ArcSwap<Snapshot>>,
 }
 
 impl ControlState {
-    /// Returns the state of a node that knows nothing yet.
-    ///
-    /// It listens for partners on `partner_address`.
+    /// Returns the state of a newly started node that listens for partners on `partner_address`.
     pub fn new(
         context: ControlContext,
         snapshot: Arc<ArcSwap<Snapshot>>,
@@ -88,30 +95,30 @@
             claims,
             links,
             leaving: LeavingState::default(),
-            partners: PartnerExchange::default(),
+            configuration_exchange: ConfigurationExchange::default(),
             leases,
             placement: PlacementState::new(PlacementSettings::default()),
             power,
             is_stopping: false,
-            snapshots: SnapshotSchedule::new(snapshot_period),
-            next_admin_at: None,
+            snapshot_schedule: SnapshotSchedule::new(snapshot_period),
+            next_admin_publish_at: None,
             snapshot,
         }
     }
 
-    /// Starts the periodic exchanges and the listener of partner links.
+    /// Starts the periodic reads and the listener of partner links.
     pub fn start(&self, partners: TcpListener) {
         let context = &self.context;
         let opener = self.links.opener();
         context.spawn(link_listener::listen(context.clone(), opener, partners));
         context.spawn(log_tail::follow(context.clone(), LogStream::Configuration));
         for stream in [LogStream::Leases, LogStream::Power] {
-            context.spawn(log_tail::follow_every(context.clone(), stream, HOLD_READ_PERIOD));
+            context.spawn(log_tail::follow_every(context.clone(), stream, LEASE_READ_PERIOD));
         }
         context.spawn(poll_tasks::poll_instance_list(context.clone()));
     }
 
-    /// Applies `event` and publishes the snapshot that follows from it.
+    /// Applies `event` and publishes the resulting snapshot.
     pub fn handle(&mut self, event: ControlEvent, now: Instant) {
         match event {
             ControlEvent::Tick => {
@@ -125,45 +132,45 @@
                 self.tick_republish(now);
                 self.tick_admin(now);
             }
-            ControlEvent::LogRead { stream, page, .. } => self.apply_log(stream, page, now),
+            ControlEvent::LogRead { stream, page, .. } => self.apply_log_page(stream, page, now),
             ControlEvent::ConfigurationReadEnded => self.end_configuration_read(),
-            ControlEvent::LogFailed { stream, error } => {
-                self.note_log_failure(stream, &error);
-                self.partners.log_failed |= stream == LogStream::Configuration;
+            ControlEvent::LogReadFailed { stream, error } => {
+                self.record_log_read_failure(stream, &error);
+                self.configuration_exchange.log_read_failed |= stream == LogStream::Configuration;
             }
-            ControlEvent::Instances(instances) => self.apply_instances(instances, now),
-            ControlEvent::Load { server, report, asked_at } => {
+            ControlEvent::InstanceListRead(instances) => self.apply_instances(instances, now),
+            ControlEvent::LoadReported { server, report, polled_at } => {
                 let event = LeavingEvent::LoadReport {
                     server: server.clone(),
                     incarnation: report.incarnation,
                     leaving: report.leaving,
                 };
-                self.advance_leaving(None, event, now);
-                self.place_by_report(&server, &report, asked_at, now);
-                self.note_idle(&server, &report, asked_at, now);
-                self.apply_load_report(server, report, asked_at, now);
+                self.apply_leaving_event(None, event, now);
+                self.apply_placement_report(&server, &report, polled_at, now);
+                self.report_if_idle(&server, &report, polled_at, now);
+                self.apply_load_report(server, report, polled_at, now);
             }
-            ControlEvent::LoadFailed { server, error } => {
-                self.place_without_report(&server, now);
-                self.fail_load_report(server, &error, now);
+            ControlEvent::LoadReportFailed { server, error } => {
+                self.apply_placement_poll_failure(&server, now);
+                self.apply_load_report_failure(server, &error, now);
             }
             ControlEvent::CacheEvents { server, page } => {
                 self.apply_cache_events(server, page, now);
             }
             ControlEvent::CacheEventsFailed { server, error } => {
-                self.fail_cache_events(server, &error);
+                self.apply_cache_events_failure(server, &error);
             }
-            ControlEvent::KeptPrefixes(kept) => {
-                self.routing.apply(RoutingEvent::StoredPrefixes(kept), now);
+            ControlEvent::StoredPrefixes(prefixes) => {
+                self.routing.apply(RoutingEvent::StoredPrefixes(prefixes), now);
             }
             ControlEvent::CrashChecked { strike, crashed } => {
                 self.apply_crash_check(strike, crashed, now);
             }
-            ControlEvent::Traffic(report) => self.apply_traffic(report, now),
-            ControlEvent::Claims(message) => self.apply_claims(message, now),
-            ControlEvent::Link(event) => self.apply_link(event, now),
-            ControlEvent::InstanceEnded(instance) => self.end_instance(instance, now),
-            ControlEvent::Ordered(answer) => self.apply_order_answer(answer, now),
+            ControlEvent::Traffic(report) => self.apply_traffic_report(report, now),
+            ControlEvent::Claims(message) => self.apply_claims_message(message, now),
+            ControlEvent::Link(event) => self.apply_link_event(event, now),
+            ControlEvent::InstanceEnded(instance) => self.apply_instance_ended(instance, now),
+            ControlEvent::OrderAnswered(answer) => self.apply_order_answer(answer, now),
             ControlEvent::Stopping => self.stop(now),
         }
         self.publish();
@@ -175,16 +182,16 @@
         self.api_keys = Arc::new(ApiKeyIndex::new(&document));
         self.routing.apply(RoutingEvent::Document(Arc::clone(&document)), now);
         self.placement.apply(PlacementEvent::Document(Arc::clone(&document)), now);
-        self.advance_power(PowerEvent::Document(Arc::clone(&document)), now);
+        self.apply_power_event(PowerEvent::Document(Arc::clone(&document)), now);
         self.document = Some(document);
     }
 
-    fn apply_log(&mut self, stream: LogStream, page: LogPage, now: Instant) {
-        self.note_log_read(stream, &page, now);
+    fn apply_log_page(&mut self, stream: LogStream, page: LogPage, now: Instant) {
+        self.record_log_read(stream, &page, now);
         match stream {
             LogStream::Configuration => {
-                self.partners.log_failed = false;
-                self.apply_configuration(page, now);
+                self.configuration_exchange.log_read_failed = false;
+                self.apply_configuration_page(page, now);
             }
             LogStream::Leases => self.apply_lease_page(page, now),
             LogStream::Power => self.apply_power_page(page, now),
@@ -192,14 +199,14 @@
         }
     }
 
-    fn apply_traffic(&mut self, report: TrafficReport, now: Instant) {
+    fn apply_traffic_report(&mut self, report: TrafficReport, now: Instant) {
         let event = match report {
             TrafficReport::Sent(sent) => {
-                self.note_sent(&sent, now);
+                self.mark_servers_used(&sent, now);
                 RoutingEvent::Sent(sent)
             }
             TrafficReport::Answer(feedback) => {
-                self.place_by_answer(&feedback, now);
+                self.apply_placement_answer(&feedback, now);
                 RoutingEvent::Answer(feedback)
             }
             TrafficReport::Load { server, report, requested_at } => {
@@ -218,12 +225,12 @@
         self.routing.apply(event, now);
     }
 
-    /// Gives up what this node holds for all, then leaves.
+    /// Releases the leases and unused power, then leaves the membership.
     fn stop(&mut self, now: Instant) {
         self.is_stopping = true;
-        self.stop_leases(now);
-        self.advance_power(PowerEvent::Stop, now);
-        self.leave_partners(now);
+        self.release_leases(now);
+        self.apply_power_event(PowerEvent::Stop, now);
+        self.leave_membership(now);
     }
 
     fn publish(&self) {
