--- a/src/control/log_tail.rs
+++ b/src/control/log_tail.rs
@@ -16,7 +16,7 @@
 const MAX_NODES_AT_BASE_PERIOD: u32 = 16;
 
 /// Returns the period of a node's reads among `live_nodes` nodes. Beyond
-/// [`MAX_NODES_AT_BASE_PERIOD`] it grows with their number, so that the read rate of all nodes
+/// `MAX_NODES_AT_BASE_PERIOD` it grows with their number, so that the read rate of all nodes
 /// together stays bounded.
 pub fn read_period(base_period: Duration, live_nodes: u32) -> Duration {
     base_period * live_nodes.max(MAX_NODES_AT_BASE_PERIOD) / MAX_NODES_AT_BASE_PERIOD
--- a/src/control/power.rs
+++ b/src/control/power.rs
@@ -20,7 +20,7 @@
 /// Maximum duration of a probe.
 const PROBE_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Power state, and the inputs and log values of which only changes matter.
+/// Power state, with the values last logged and last passed to it.
 #[derive(Debug)]
 pub struct PowerControl {
     state: PowerState,
