--- a/src/control/mod.rs
+++ b/src/control/mod.rs
@@ -1,7 +1,7 @@
-//! The control thread: owns all control state and publishes immutable snapshots.
+//! The control thread: owns all control state and publishes immutable snapshots of it.
 //!
-//! Tasks on the same thread do the exchanges and send what they learn as [`ControlEvent`]s; one
-//! loop applies the events, so that no state is shared.
+//! Tasks on the same thread do the I/O and send the results as [`ControlEvent`]s. A single loop
+//! applies the events, so no state is shared between tasks.
 
 pub mod admin;
 pub mod claims;
@@ -17,17 +17,17 @@
 pub mod partners;
 pub mod placement;
 pub mod poison;
-pub mod polls;
+pub mod poll_tasks;
 pub mod power;
 pub mod republish;
-pub mod routing;
+pub mod server_polls;
 pub mod snapshot;
 pub mod state;
 
 pub use claims::ClaimsMessage;
 pub use context::ControlContext;
 pub use event::{ControlEvent, TrafficReport};
-pub use snapshot::{KeyIndex, Snapshot};
+pub use snapshot::{ApiKeyIndex, Snapshot};
 pub use state::ControlState;
 
 use async_channel::Receiver;
@@ -35,7 +35,7 @@
 use smol::Timer;
 use std::time::{Duration, Instant};
 
-/// Period of the control loop's own work.
+/// Period of [`ControlEvent::Tick`].
 const TICK_PERIOD: Duration = Duration::from_millis(100);
 
 /// Applies events until their channel closes.
--- a/src/traffic/attempt.rs
+++ b/src/traffic/attempt.rs
@@ -60,8 +60,8 @@
     pub fn set_answer(&mut self, answer: EngineAnswer) -> Option<TrafficReport> {
         let EngineAnswer { incarnation, load, frames } = answer;
         self.answer = Some(AnswerStream { incarnation, frames });
-        let (server, asked_at) = (self.decision.server.clone(), self.sent_at);
-        load.map(|report| TrafficReport::Load { server, report, asked_at })
+        let (server, requested_at) = (self.decision.server.clone(), self.sent_at);
+        load.map(|report| TrafficReport::Load { server, report, requested_at })
     }
 
     /// Returns the routing decision of the attempt.
--- a/src/traffic/authenticate.rs
+++ b/src/traffic/authenticate.rs
@@ -11,7 +11,7 @@
     let invalid_key =
         || Failure::not_run(FailureCode::InvalidApiKey, "the bearer key is missing or not known");
     let key = bearer_key(headers).ok_or_else(invalid_key)?;
-    snapshot.keys.workspace(&hash_key(key)).cloned().ok_or_else(invalid_key)
+    snapshot.api_keys.workspace(&hash_key(key)).cloned().ok_or_else(invalid_key)
 }
 
 /// Returns the bearer key in `headers`.
--- a/src/traffic/generation.rs
+++ b/src/traffic/generation.rs
@@ -307,7 +307,7 @@
             timing,
         }));
         if self.suspect_permit.is_some() {
-            self.context.report(TrafficReport::Exonerated(self.request.fingerprint));
+            self.context.report(TrafficReport::SuspectCompleted(self.request.fingerprint));
         }
     }
 
@@ -366,7 +366,7 @@
         incarnation: Option<Incarnation>,
     ) -> Suspicion {
         let fingerprint = self.request.fingerprint;
-        self.context.report(TrafficReport::AttemptCut { server, incarnation, fingerprint });
+        self.context.report(TrafficReport::AnswerInterrupted { server, incarnation, fingerprint });
         Timer::after(STRIKE_EXCHANGE_TIME).await;
         self.context.snapshot.load().poison.suspicion(fingerprint, Instant::now())
     }
