--- a/src/admin/explain.rs
+++ b/src/admin/explain.rs
@@ -2,7 +2,7 @@
 
 use super::error::{AdminCode, AdminError};
 use super::messages::{ExplainReply, ExplainRequest};
-use super::recent::decision_reply;
+use super::recent_decisions::decision_reply;
 use super::server::AdminContext;
 use crate::decision::routing::{PrefixScope, RouteQuery, prompt_levels};
 use crate::types::RequestId;
--- a/src/admin/mod.rs
+++ b/src/admin/mod.rs
@@ -7,14 +7,14 @@
 pub mod messages;
 pub mod openapi;
 pub mod read;
-pub mod recent;
+pub mod recent_decisions;
 pub mod restore;
 pub mod routes;
 pub mod server;
 pub mod view;
 
 pub use error::{AdminCode, AdminError};
-pub use recent::RecentDecisions;
+pub use recent_decisions::RecentDecisions;
 pub use routes::AdminRoute;
 pub use server::AdminContext;
 pub use view::{AdminView, ConfigurationView, StreamStatus};
--- a/src/logging/mod.rs
+++ b/src/logging/mod.rs
@@ -4,10 +4,10 @@
 //! go through [`Quoted`]. Level and module filters come from `COT_LOG` in the form that
 //! `env_logger` reads, and default to [`DEFAULT_FILTER`].
 
-pub mod bounded;
+pub mod non_blocking;
 
-use bounded::BoundedWriter;
 use env_logger::{Builder, Env, Target};
+use non_blocking::BoundedWriter;
 use std::fmt;
 use std::io::Write;
 
--- a/tests/relay/logging.rs
+++ b/tests/relay/logging.rs
@@ -1,6 +1,6 @@
 //! A blocked standard output neither delays requests nor grows memory.
 
-use coriandertide::logging::bounded::BoundedWriter;
+use coriandertide::logging::non_blocking::BoundedWriter;
 use prometheus_client::metrics::counter::Counter;
 use std::io::{self, Write};
 use std::sync::mpsc::{Receiver, Sender, channel};
