--- a/src/admin/access.rs
+++ b/src/admin/access.rs
@@ -1,6 +1,6 @@
 //! Who calls the administration API and what the caller may do.
 
-use super::error::{AdminCode, AdminError};
+use super::error::{AdminError, ErrorCode};
 use crate::document::{Document, Owner, OwnerRole, hash_key};
 use crate::types::OwnerId;
 use smol_str::SmolStr;
@@ -28,7 +28,7 @@
     bootstrap_key_hash: Option<&SmolStr>,
 ) -> Result<AdminCaller, AdminError> {
     let refused =
-        || AdminError::new(AdminCode::InvalidKey, "the bearer key is missing or not known");
+        || AdminError::new(ErrorCode::InvalidKey, "the bearer key is missing or not known");
     let hash = hash_key(key.ok_or_else(refused)?);
     let owners = document.map(|document| &document.owners).filter(|owners| !owners.is_empty());
     let Some(owners) = owners else {
@@ -48,12 +48,12 @@
     /// # Errors
     ///
     /// A lesser role.
-    pub fn require(&self, role: OwnerRole) -> Result<(), AdminError> {
+    pub fn require_role(&self, role: OwnerRole) -> Result<(), AdminError> {
         if self.owner.role >= role {
             return Ok(());
         }
         let message = format!("`{}` is a {}, not a {role}", self.name, self.owner.role);
-        Err(AdminError::new(AdminCode::Forbidden, message))
+        Err(AdminError::new(ErrorCode::Forbidden, message))
     }
 }
 
--- a/src/admin/edit.rs
+++ b/src/admin/edit.rs
@@ -1,7 +1,7 @@
 //! Handlers that validate and make edits.
 
 use super::access::AdminCaller;
-use super::error::{AdminCode, AdminError, ErrorDetails, fault_replies};
+use super::error::{AdminError, ErrorCode, ErrorDetails, fault_replies};
 use super::messages::{EditReply, ValidateReply, ValidateRequest};
 use super::read::state;
 use super::server::AdminContext;
@@ -96,7 +96,7 @@
     };
     if entry.author != caller.name {
         let message = format!("edit id `{}` was used by `{}`", request.edit_id, entry.author);
-        return Err(AdminError::new(AdminCode::EditIdTaken, message));
+        return Err(AdminError::new(ErrorCode::EditIdTaken, message));
     }
     match &entry.outcome {
         EditOutcome::Accepted => Ok(Some(entry.offset)),
@@ -134,14 +134,14 @@
 
 fn refusal_error(state: &ConfigurationState, refusal: EditRefusal) -> AdminError {
     match refusal {
-        EditRefusal::Malformed(message) => AdminError::new(AdminCode::InvalidRequest, message),
+        EditRefusal::Malformed(message) => AdminError::new(ErrorCode::InvalidRequest, message),
         EditRefusal::NotOwner(section) => {
             let message = format!("the key may not edit section `{section}`");
-            AdminError::new(AdminCode::Forbidden, message)
+            AdminError::new(ErrorCode::Forbidden, message)
         }
         EditRefusal::Outdated(outcome) => outdated_error(state, &outcome),
         EditRefusal::Invalid(faults) => AdminError::with_details(
-            AdminCode::InvalidDocument,
+            ErrorCode::InvalidDocument,
             "the document would have faults",
             ErrorDetails { faults, ..ErrorDetails::default() },
         ),
@@ -158,14 +158,14 @@
             let current = state.sections.get(&winner.section).and_then(|s| s.value.clone());
             let winner = Some(winner.clone());
             let details = ErrorDetails { winner, current, ..ErrorDetails::default() };
-            AdminError::with_details(AdminCode::Outdated, message, details)
+            AdminError::with_details(ErrorCode::Outdated, message, details)
         }
         EditOutcome::Overtaken(kind) => {
             let message = format!("a section of `{}` changed meanwhile; try again", kind.kind);
-            AdminError::new(AdminCode::Overtaken, message)
+            AdminError::new(ErrorCode::Overtaken, message)
         }
         EditOutcome::Accepted => {
-            AdminError::new(AdminCode::OutcomeUnknown, "the edit was accepted meanwhile")
+            AdminError::new(ErrorCode::OutcomeUnknown, "the edit was accepted meanwhile")
         }
     }
 }
@@ -173,11 +173,11 @@
 fn given_up(appended: Appended) -> AdminError {
     match appended {
         Appended::No => AdminError::new(
-            AdminCode::LogUnavailable,
+            ErrorCode::LogUnavailable,
             "the log could not be reached; the edit was not made",
         ),
         Appended::Perhaps | Appended::At(_) => AdminError::new(
-            AdminCode::OutcomeUnknown,
+            ErrorCode::OutcomeUnknown,
             "the edit may have been made; send it again under the same id",
         ),
     }
--- a/src/admin/error.rs
+++ b/src/admin/error.rs
@@ -11,7 +11,7 @@
 /// Code of an error.
 #[derive(Clone, Copy, Debug, Display, EnumIter, EnumString, Eq, Hash, IntoStaticStr, PartialEq)]
 #[strum(serialize_all = "snake_case")]
-pub enum AdminCode {
+pub enum ErrorCode {
     /// The request cannot be read.
     InvalidRequest,
     /// The bearer key is missing or not known.
@@ -42,7 +42,7 @@
     OutcomeUnknown,
 }
 
-impl AdminCode {
+impl ErrorCode {
     /// Returns the HTTP status.
     pub fn status(self) -> StatusCode {
         match self {
@@ -65,7 +65,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct AdminError {
     /// Code.
-    pub code: AdminCode,
+    pub code: ErrorCode,
     /// What went wrong.
     pub message: String,
     /// Details.
@@ -85,13 +85,13 @@
 
 impl AdminError {
     /// Returns an error without details.
-    pub fn new(code: AdminCode, message: impl Into<String>) -> Self {
+    pub fn new(code: ErrorCode, message: impl Into<String>) -> Self {
         Self::with_details(code, message, ErrorDetails::default())
     }
 
     /// Returns an error with details.
     pub fn with_details(
-        code: AdminCode,
+        code: ErrorCode,
         message: impl Into<String>,
         details: ErrorDetails,
     ) -> Self {
--- a/src/admin/explain.rs
+++ b/src/admin/explain.rs
@@ -1,6 +1,6 @@
 //! Explains where a request would go, without sending it.
 
-use super::error::{AdminCode, AdminError};
+use super::error::{AdminError, ErrorCode};
 use super::messages::{ExplainReply, ExplainRequest};
 use super::recent_decisions::decision_reply;
 use super::server::AdminContext;
@@ -19,9 +19,9 @@
     now: Instant,
 ) -> Result<ExplainReply, AdminError> {
     let snapshot = context.traffic.snapshot.load();
-    let not_ready = || AdminError::new(AdminCode::NotReady, "the node has no document yet");
+    let not_ready = || AdminError::new(ErrorCode::NotReady, "the node has no document yet");
     let document = snapshot.document.as_ref().ok_or_else(not_ready)?;
-    let invalid = |message: String| AdminError::new(AdminCode::InvalidRequest, message);
+    let invalid = |message: String| AdminError::new(ErrorCode::InvalidRequest, message);
     let model = request.request["model"]
         .as_str()
         .ok_or_else(|| invalid(String::from("request.model: must be the name of a model")))?;
--- a/src/admin/mod.rs
+++ b/src/admin/mod.rs
@@ -13,7 +13,7 @@
 pub mod server;
 pub mod view;
 
-pub use error::{AdminCode, AdminError};
+pub use error::{AdminError, ErrorCode};
 pub use recent_decisions::RecentDecisions;
 pub use routes::AdminRoute;
 pub use server::AdminContext;
--- a/src/admin/openapi.rs
+++ b/src/admin/openapi.rs
@@ -1,6 +1,6 @@
 //! OpenAPI description of the administration API, built from the routes and the message types.
 
-use super::error::AdminCode;
+use super::error::ErrorCode;
 use super::messages::{
     DecisionsReply, DocumentReply, EditReply, ErrorReply, ExplainReply, ExplainRequest,
     HistoryReply, LeasesReply, NodesReply, PowerReply, RestoreRequest, ServersReply, StatusReply,
@@ -49,7 +49,7 @@
             },
         },
     });
-    if let Some(role) = route.least_role() {
+    if let Some(role) = route.min_role() {
         operation["security"] = json!([{ "key": [] }]);
         operation["x-least-role"] = json!(role);
         operation["x-error-codes"] = error_codes(route);
@@ -111,21 +111,21 @@
 
 /// Returns the codes of errors that a caller of the route has to expect.
 fn error_codes(route: AdminRoute) -> Value {
-    let codes = AdminCode::iter().filter(|code| is_code_of(*code, route));
+    let codes = ErrorCode::iter().filter(|code| is_code_of(*code, route));
     codes.map(<&'static str>::from).collect()
 }
 
-fn is_code_of(code: AdminCode, route: AdminRoute) -> bool {
+fn is_code_of(code: ErrorCode, route: AdminRoute) -> bool {
     match code {
-        AdminCode::InvalidKey | AdminCode::Forbidden | AdminCode::NotReady => true,
-        AdminCode::InvalidRequest => route.method() == http::Method::POST,
-        AdminCode::NotFound => route == AdminRoute::FindEdit,
-        AdminCode::UnknownPath | AdminCode::UnknownMethod => false,
-        AdminCode::NotExpired => route == AdminRoute::Restore,
-        AdminCode::InvalidDocument | AdminCode::LogUnavailable | AdminCode::OutcomeUnknown => {
+        ErrorCode::InvalidKey | ErrorCode::Forbidden | ErrorCode::NotReady => true,
+        ErrorCode::InvalidRequest => route.method() == http::Method::POST,
+        ErrorCode::NotFound => route == AdminRoute::FindEdit,
+        ErrorCode::UnknownPath | ErrorCode::UnknownMethod => false,
+        ErrorCode::NotExpired => route == AdminRoute::Restore,
+        ErrorCode::InvalidDocument | ErrorCode::LogUnavailable | ErrorCode::OutcomeUnknown => {
             matches!(route, AdminRoute::SubmitEdit | AdminRoute::Restore)
         }
-        AdminCode::Outdated | AdminCode::Overtaken | AdminCode::EditIdTaken => {
+        ErrorCode::Outdated | ErrorCode::Overtaken | ErrorCode::EditIdTaken => {
             route == AdminRoute::SubmitEdit
         }
     }
--- a/src/admin/read.rs
+++ b/src/admin/read.rs
@@ -1,6 +1,6 @@
 //! Handlers that read: document, history, status, nodes, servers, leases, power, decisions.
 
-use super::error::{AdminCode, AdminError, fault_replies};
+use super::error::{AdminError, ErrorCode, fault_replies};
 use super::messages::{
     BadRecordReply, DecisionsReply, DocumentReply, HistoryReply, LeasesReply, NodesReply,
     SectionReply, ServersReply, StatusReply, StreamReply,
@@ -51,7 +51,7 @@
 /// Returns the edit with this id.
 pub fn find_edit(view: &AdminView, edit_id: &str) -> Result<Arc<EditEntry>, AdminError> {
     state(view)?.find_edit(edit_id).cloned().ok_or_else(|| {
-        AdminError::new(AdminCode::NotFound, format!("no edit `{edit_id}` is remembered"))
+        AdminError::new(ErrorCode::NotFound, format!("no edit `{edit_id}` is remembered"))
     })
 }
 
@@ -60,7 +60,7 @@
     let configuration = &view.configuration;
     let held_back = configuration.held_back.as_ref().map(fault_replies).unwrap_or_default();
     let bad_records = configuration
-        .bad_records
+        .malformed_records
         .iter()
         .map(|bad| BadRecordReply { offset: bad.offset, reason: bad.reason.clone() })
         .collect();
@@ -110,7 +110,7 @@
 /// A node that has found no base yet.
 pub fn state(view: &AdminView) -> Result<&Arc<ConfigurationState>, AdminError> {
     view.configuration.state.as_ref().ok_or_else(|| {
-        AdminError::new(AdminCode::NotReady, "the node has not read the configuration yet")
+        AdminError::new(ErrorCode::NotReady, "the node has not read the configuration yet")
     })
 }
 
@@ -120,7 +120,7 @@
     };
     StreamReply {
         next_offset: status.next_offset,
-        read_ms_ago: status.read_at.map(ms_since),
-        error: status.error.clone(),
+        read_ms_ago: status.last_read_at.map(ms_since),
+        error: status.last_error.clone(),
     }
 }
--- a/src/admin/restore.rs
+++ b/src/admin/restore.rs
@@ -1,6 +1,6 @@
 //! Restores a document whose records expired on the log while no node ran.
 
-use super::error::{AdminCode, AdminError, ErrorDetails};
+use super::error::{AdminError, ErrorCode, ErrorDetails};
 use super::messages::{EditReply, RestoreRequest};
 use super::server::AdminContext;
 use super::view::AdminView;
@@ -27,14 +27,14 @@
     let expired_to = find_expired(&context.view())?;
     let checked = validate_json(request.document, expired_to).map_err(|faults| {
         let details = ErrorDetails { faults, ..ErrorDetails::default() };
-        AdminError::with_details(AdminCode::InvalidDocument, "the document has faults", details)
+        AdminError::with_details(ErrorCode::InvalidDocument, "the document has faults", details)
     })?;
     let payload = ConfigurationRecord::restored_snapshot(&checked.raw, expired_to).encode();
     log::warn!("event=configuration_restore expired_to={expired_to}");
     context.log.append(LogStream::Configuration, payload).await.map_err(|error| {
         let code = match error.delivery {
-            Delivery::NotSent | Delivery::Refused => AdminCode::LogUnavailable,
-            Delivery::Unknown => AdminCode::OutcomeUnknown,
+            Delivery::NotSent | Delivery::Refused => ErrorCode::LogUnavailable,
+            Delivery::Unknown => ErrorCode::OutcomeUnknown,
         };
         AdminError::new(code, error.to_string())
     })?;
@@ -45,19 +45,19 @@
         }
         Timer::after(FOLD_CHECK_PERIOD).await;
     }
-    Err(AdminError::new(AdminCode::OutcomeUnknown, "the record was not read back in time"))
+    Err(AdminError::new(ErrorCode::OutcomeUnknown, "the record was not read back in time"))
 }
 
 fn find_expired(view: &AdminView) -> Result<LogOffset, AdminError> {
     let knows = view.nodes.iter().find(|node| node.configuration_offset.is_some_and(|at| at > 0));
     if let Some(node) = knows {
         let message = format!("node `{}` knows the configuration", node.instance);
-        return Err(AdminError::new(AdminCode::NotExpired, message));
+        return Err(AdminError::new(ErrorCode::NotExpired, message));
     }
     if view.configuration.state.is_some() {
-        return Err(AdminError::new(AdminCode::NotExpired, "the stream has not expired"));
+        return Err(AdminError::new(ErrorCode::NotExpired, "the stream has not expired"));
     }
     view.configuration
         .expired_to
-        .ok_or_else(|| AdminError::new(AdminCode::NotReady, "the node has not read the stream yet"))
+        .ok_or_else(|| AdminError::new(ErrorCode::NotReady, "the node has not read the stream yet"))
 }
--- a/src/admin/routes.rs
+++ b/src/admin/routes.rs
@@ -1,6 +1,6 @@
 //! Routes of the administration API: methods, paths and the least role for each.
 
-use super::error::{AdminCode, AdminError};
+use super::error::{AdminError, ErrorCode};
 use crate::document::OwnerRole;
 use http::Method;
 use smol_str::SmolStr;
@@ -82,7 +82,7 @@
     }
 
     /// Returns the least role of a caller; none if no key is asked for.
-    pub fn least_role(self) -> Option<OwnerRole> {
+    pub fn min_role(self) -> Option<OwnerRole> {
         match self {
             Self::Metrics | Self::Openapi => None,
             Self::SubmitEdit => Some(OwnerRole::Editor),
@@ -111,9 +111,9 @@
     Err(match other_method {
         Some(expected) => {
             let message = format!("{path} takes {expected}, not {method}");
-            AdminError::new(AdminCode::UnknownMethod, message)
+            AdminError::new(ErrorCode::UnknownMethod, message)
         }
-        None => AdminError::new(AdminCode::UnknownPath, format!("nothing is served at {path}")),
+        None => AdminError::new(ErrorCode::UnknownPath, format!("nothing is served at {path}")),
     })
 }
 
--- a/src/admin/server.rs
+++ b/src/admin/server.rs
@@ -1,7 +1,7 @@
 //! Serves the administration API.
 
 use super::access::{AdminCaller, authenticate};
-use super::error::{AdminCode, AdminError};
+use super::error::{AdminError, ErrorCode};
 use super::routes::{AdminRoute, MatchedRoute, find_route};
 use super::{AdminView, edit, explain, openapi, read, restore};
 use crate::adapters::http_server::Reply;
@@ -55,11 +55,11 @@
     body: Incoming,
 ) -> Result<Reply, AdminError> {
     let matched = find_route(&parts.method, parts.uri.path())?;
-    let Some(role) = matched.route.least_role() else {
+    let Some(role) = matched.route.min_role() else {
         return open(context, matched.route);
     };
     let caller = identify(context, parts)?;
-    caller.require(role)?;
+    caller.require_role(role)?;
     match matched.route {
         AdminRoute::Validate => {
             let request = read_json(context, body).await?;
@@ -110,7 +110,7 @@
         return reply(&openapi::description());
     }
     let text = encode(&context.traffic.registry)
-        .map_err(|error| AdminError::new(AdminCode::NotReady, error.to_string()))?;
+        .map_err(|error| AdminError::new(ErrorCode::NotReady, error.to_string()))?;
     Ok(text_reply(StatusCode::OK, text))
 }
 
@@ -133,9 +133,9 @@
     let deadline = Instant::now() + Duration::from_millis(limits.read_timeout_ms);
     let bytes = body::read(body, limits.body_bytes, deadline)
         .await
-        .map_err(|failure| AdminError::new(AdminCode::InvalidRequest, failure.message))?;
+        .map_err(|failure| AdminError::new(ErrorCode::InvalidRequest, failure.message))?;
     serde_json::from_slice(&bytes)
-        .map_err(|error| AdminError::new(AdminCode::InvalidRequest, error.to_string()))
+        .map_err(|error| AdminError::new(ErrorCode::InvalidRequest, error.to_string()))
 }
 
 fn reply(body: &impl serde::Serialize) -> Result<Reply, AdminError> {
--- a/src/admin/view.rs
+++ b/src/admin/view.rs
@@ -31,9 +31,9 @@
     /// Offset of the next read.
     pub next_offset: LogOffset,
     /// When the stream was last read.
-    pub read_at: Option<Instant>,
+    pub last_read_at: Option<Instant>,
     /// Error of the last read, if it failed.
-    pub error: Option<String>,
+    pub last_error: Option<String>,
 }
 
 /// Configuration as a node has folded it.
@@ -50,7 +50,7 @@
     /// Record that needs a later build.
     pub newer_record: Option<NewerRecord>,
     /// Latest malformed records.
-    pub bad_records: Vec<MalformedRecord>,
+    pub malformed_records: Vec<MalformedRecord>,
 }
 
 impl From<&ConfigurationFollower> for ConfigurationView {
@@ -61,7 +61,7 @@
             held_back: follower.held_back().cloned(),
             expired_to: follower.expired_to(),
             newer_record: follower.newer_record(),
-            bad_records: follower.malformed_records().cloned().collect(),
+            malformed_records: follower.malformed_records().cloned().collect(),
         }
     }
 }
--- a/src/cli/apply.rs
+++ b/src/cli/apply.rs
@@ -6,7 +6,7 @@
 use super::exit::{CliError, ExitStatus};
 use super::options::{Change, Connection};
 use super::output::{print_json, print_line};
-use crate::admin::AdminCode;
+use crate::admin::ErrorCode;
 use crate::admin::messages::{EditReply, NodeState, NodesReply};
 use crate::decision::configuration::EditRequest;
 use crate::types::Revision;
@@ -124,7 +124,7 @@
         let edit_id = format_smolstr!("{:016x}", fastrand::u64(..));
         let request = EditRequest { edit_id, changes: changes.clone() };
         match send(&client, &request).await {
-            Err(ClientError::Refused(body)) if is_code(&body.code, AdminCode::Overtaken) => {}
+            Err(ClientError::Refused(body)) if is_code(&body.code, ErrorCode::Overtaken) => {}
             other => return Ok(other?),
         }
         let again = plan(connection, change).await?;
@@ -148,7 +148,7 @@
         };
         let is_unknown = match &error {
             ClientError::Peer(_) => true,
-            ClientError::Refused(body) => is_code(&body.code, AdminCode::OutcomeUnknown),
+            ClientError::Refused(body) => is_code(&body.code, ErrorCode::OutcomeUnknown),
         };
         if !is_unknown || attempts >= SEND_ATTEMPTS {
             return Err(error);
@@ -158,6 +158,6 @@
     }
 }
 
-fn is_code(code: &str, expected: AdminCode) -> bool {
+fn is_code(code: &str, expected: ErrorCode) -> bool {
     code.parse() == Ok(expected)
 }
--- a/src/cli/exit.rs
+++ b/src/cli/exit.rs
@@ -1,7 +1,7 @@
 //! Exit codes and errors of the command line.
 
 use super::client::ClientError;
-use crate::admin::AdminCode;
+use crate::admin::ErrorCode;
 use crate::admin::messages::ErrorBody;
 
 /// Exit code.
@@ -59,19 +59,19 @@
     }
 }
 
-fn status_of(code: AdminCode) -> ExitStatus {
+fn status_of(code: ErrorCode) -> ExitStatus {
     match code {
-        AdminCode::InvalidRequest
-        | AdminCode::UnknownPath
-        | AdminCode::UnknownMethod
-        | AdminCode::NotFound => ExitStatus::Failure,
-        AdminCode::InvalidKey | AdminCode::Forbidden => ExitStatus::Forbidden,
-        AdminCode::Outdated
-        | AdminCode::Overtaken
-        | AdminCode::EditIdTaken
-        | AdminCode::NotExpired => ExitStatus::Conflict,
-        AdminCode::InvalidDocument => ExitStatus::Invalid,
-        AdminCode::NotReady | AdminCode::LogUnavailable => ExitStatus::Unavailable,
-        AdminCode::OutcomeUnknown => ExitStatus::OutcomeUnknown,
+        ErrorCode::InvalidRequest
+        | ErrorCode::UnknownPath
+        | ErrorCode::UnknownMethod
+        | ErrorCode::NotFound => ExitStatus::Failure,
+        ErrorCode::InvalidKey | ErrorCode::Forbidden => ExitStatus::Forbidden,
+        ErrorCode::Outdated
+        | ErrorCode::Overtaken
+        | ErrorCode::EditIdTaken
+        | ErrorCode::NotExpired => ExitStatus::Conflict,
+        ErrorCode::InvalidDocument => ExitStatus::Invalid,
+        ErrorCode::NotReady | ErrorCode::LogUnavailable => ExitStatus::Unavailable,
+        ErrorCode::OutcomeUnknown => ExitStatus::OutcomeUnknown,
     }
 }
--- a/src/cli/inspect.rs
+++ b/src/cli/inspect.rs
@@ -124,7 +124,7 @@
 
 /// Reads logs from standard input and prints the story of `request`.
 pub fn trace_from_input(request: &str) -> Result<ExitStatus, CliError> {
-    let story = trace::story(std::io::stdin().lock(), request)
+    let story = trace::trace_request(std::io::stdin().lock(), request)
         .map_err(|error| CliError::new(ExitStatus::Failure, error.to_string()))?;
     print_line(story.trim_end());
     Ok(ExitStatus::Success)
--- a/src/cli/trace.rs
+++ b/src/cli/trace.rs
@@ -27,7 +27,7 @@
 /// # Errors
 ///
 /// Input that cannot be read.
-pub fn story(input: impl BufRead, request: &str) -> std::io::Result<String> {
+pub fn trace_request(input: impl BufRead, request: &str) -> std::io::Result<String> {
     let mut lines = Vec::new();
     for line in input.split(b'\n') {
         lines.extend(parse(&String::from_utf8_lossy(&line?)));
--- a/src/control/log_status.rs
+++ b/src/control/log_status.rs
@@ -14,8 +14,8 @@
         let status = Arc::make_mut(&mut self.admin).streams.entry(name).or_default();
         let read_to = page.records.last().map_or(0, |record| record.offset + 1);
         status.next_offset = status.next_offset.max(read_to);
-        status.read_at = Some(now);
-        if status.error.take().is_some() {
+        status.last_read_at = Some(now);
+        if status.last_error.take().is_some() {
             log::info!("event=log_read_again stream={stream}");
         }
         let labels = StreamLabels { stream: name.to_owned() };
@@ -30,8 +30,8 @@
     pub(super) fn note_log_failure(&mut self, stream: LogStream, error: &PeerError) {
         let name: &'static str = stream.into();
         let status = Arc::make_mut(&mut self.admin).streams.entry(name).or_default();
-        let is_first = status.error.is_none();
-        status.error = Some(error.to_string());
+        let is_first = status.last_error.is_none();
+        status.last_error = Some(error.to_string());
         let level = if is_first { log::Level::Warn } else { log::Level::Debug };
         log::log!(level, "event=log_read_failed stream={stream} {error}");
         let metrics = &self.context.metrics;
--- a/src/logging/mod.rs
+++ b/src/logging/mod.rs
@@ -7,7 +7,7 @@
 pub mod non_blocking;
 
 use env_logger::{Builder, Env, Target};
-use non_blocking::BoundedWriter;
+use non_blocking::NonBlockingWriter;
 use std::fmt;
 use std::io::Write;
 
@@ -22,7 +22,7 @@
 }
 
 /// Starts logging to standard output through `writer`, which never blocks.
-pub fn init_bounded(writer: BoundedWriter) {
+pub fn init_non_blocking(writer: NonBlockingWriter) {
     start(Target::Pipe(Box::new(writer)));
 }
 
--- a/src/logging/non_blocking.rs
+++ b/src/logging/non_blocking.rs
@@ -11,14 +11,14 @@
 
 /// Writer that hands lines to a thread.
 #[derive(Debug)]
-pub struct BoundedWriter {
+pub struct NonBlockingWriter {
     lines: SyncSender<Vec<u8>>,
     dropped: Counter,
     /// Lines dropped since the last one that was queued.
     dropped_in_a_row: u64,
 }
 
-impl BoundedWriter {
+impl NonBlockingWriter {
     /// Starts a thread that writes to `output`; `dropped` counts the lines that it could not take.
     ///
     /// # Errors
@@ -48,7 +48,7 @@
     }
 }
 
-impl Write for BoundedWriter {
+impl Write for NonBlockingWriter {
     fn write(&mut self, line: &[u8]) -> io::Result<usize> {
         if self.dropped_in_a_row > 0 {
             let note =
--- a/src/metrics/labels.rs
+++ b/src/metrics/labels.rs
@@ -5,7 +5,7 @@
 
 /// Labels of what a workspace asked for.
 #[derive(Clone, Debug, EncodeLabelSet, Eq, Hash, PartialEq)]
-pub struct RequestLabels {
+pub struct WorkspaceLabels {
     /// Workspace.
     pub workspace: String,
 }
--- a/src/metrics/mod.rs
+++ b/src/metrics/mod.rs
@@ -5,7 +5,7 @@
 pub mod labels;
 
 pub use labels::{
-    FailureLabels, LeaseLabels, PeerLabels, ReasonLabels, RequestLabels, StreamLabels,
+    FailureLabels, LeaseLabels, PeerLabels, ReasonLabels, StreamLabels, WorkspaceLabels,
 };
 
 use prometheus_client::encoding::text;
@@ -47,7 +47,7 @@
     }
 }
 
-impl Default for LatencyFamily<RequestLabels> {
+impl Default for LatencyFamily<WorkspaceLabels> {
     fn default() -> Self {
         Self::new(|| Histogram::new(LATENCY_BUCKETS_S))
     }
@@ -57,17 +57,17 @@
 #[derive(Clone, Debug, Default)]
 pub struct Metrics {
     /// Complete answers to model requests.
-    pub answers: Family<RequestLabels, Counter>,
+    pub answers: Family<WorkspaceLabels, Counter>,
     /// Calls that ended in a failure, by its code and whether they were run.
     pub failures: Family<FailureLabels, Counter>,
     /// Time from accepting a request to its first token.
-    pub first_token_seconds: LatencyFamily<RequestLabels>,
+    pub first_token_seconds: LatencyFamily<WorkspaceLabels>,
     /// Prompt tokens sent to engines.
-    pub prompt_tokens: Family<RequestLabels, Counter>,
+    pub prompt_tokens: Family<WorkspaceLabels, Counter>,
     /// Prompt tokens that engines took from their cache.
-    pub cached_tokens: Family<RequestLabels, Counter>,
+    pub cached_tokens: Family<WorkspaceLabels, Counter>,
     /// Prompt tokens computed though the router expected them to be cached.
-    pub recomputed_tokens: Family<RequestLabels, Counter>,
+    pub recomputed_tokens: Family<WorkspaceLabels, Counter>,
     /// Routing decisions by reason.
     pub route_decisions: Family<ReasonLabels, Counter>,
     /// Attempts of model requests after the first.
--- a/src/traffic/measure.rs
+++ b/src/traffic/measure.rs
@@ -4,7 +4,7 @@
 use super::generation_request::GenerationRequest;
 use super::{Failure, TrafficContext};
 use crate::decision::routing::RouteDecision;
-use crate::metrics::{FailureLabels, PeerLabels, ReasonLabels, RequestLabels};
+use crate::metrics::{FailureLabels, PeerLabels, ReasonLabels, WorkspaceLabels};
 use crate::types::PeerError;
 use std::time::{Duration, Instant};
 
@@ -52,6 +52,6 @@
     }
 }
 
-fn labels_of(request: &GenerationRequest) -> RequestLabels {
-    RequestLabels { workspace: request.workspace.to_string() }
+fn labels_of(request: &GenerationRequest) -> WorkspaceLabels {
+    WorkspaceLabels { workspace: request.workspace.to_string() }
 }
--- a/tests/configuration/admin.rs
+++ b/tests/configuration/admin.rs
@@ -2,7 +2,7 @@
 
 use coriandertide::admin::access::authenticate;
 use coriandertide::admin::routes::find_route;
-use coriandertide::admin::{AdminCode, AdminRoute, openapi};
+use coriandertide::admin::{AdminRoute, ErrorCode, openapi};
 use coriandertide::document::{Document, Owner, OwnerRole, hash_key};
 use http::Method;
 use strum::IntoEnumIterator;
@@ -22,12 +22,12 @@
         assert_eq!(found.parameter.is_some(), route.path().contains('{'));
         let method = route.method().as_str().to_ascii_lowercase();
         let operation = &description["paths"][route.path()][method];
-        assert_eq!(operation["security"].is_array(), route.least_role().is_some(), "{route:?}");
+        assert_eq!(operation["security"].is_array(), route.min_role().is_some(), "{route:?}");
     }
     let code = |method, path| find_route(&method, path).unwrap_err().code;
-    assert_eq!(code(Method::DELETE, "/admin/v1/document"), AdminCode::UnknownMethod);
-    assert_eq!(code(Method::GET, "/admin/v1/edits/a/b"), AdminCode::UnknownPath);
-    assert_eq!(code(Method::GET, "/admin/v1/edits/"), AdminCode::UnknownPath);
+    assert_eq!(code(Method::DELETE, "/admin/v1/document"), ErrorCode::UnknownMethod);
+    assert_eq!(code(Method::GET, "/admin/v1/edits/a/b"), ErrorCode::UnknownPath);
+    assert_eq!(code(Method::GET, "/admin/v1/edits/"), ErrorCode::UnknownPath);
 }
 
 #[test]
@@ -39,7 +39,7 @@
             .map_err(|error| error.code)
     };
     let mut document = Document::default();
-    let refused = Err(AdminCode::InvalidKey);
+    let refused = Err(ErrorCode::InvalidKey);
     assert_eq!(access(None, &document), refused);
     assert_eq!(access(Some("other"), &document), refused);
     let expected = (String::from("bootstrap"), OwnerRole::Administrator);
@@ -50,5 +50,5 @@
     assert_eq!(access(Some("bootstrap"), &document), refused);
     assert_eq!(access(Some("r"), &document), Ok((String::from("team"), OwnerRole::Reader)));
     let caller = authenticate(Some("r"), Some(&document), None).unwrap();
-    assert_eq!(caller.require(OwnerRole::Editor).unwrap_err().code, AdminCode::Forbidden);
+    assert_eq!(caller.require_role(OwnerRole::Editor).unwrap_err().code, ErrorCode::Forbidden);
 }
--- a/tests/relay/logging.rs
+++ b/tests/relay/logging.rs
@@ -1,6 +1,6 @@
 //! A blocked standard output neither delays requests nor grows memory.
 
-use coriandertide::logging::non_blocking::BoundedWriter;
+use coriandertide::logging::non_blocking::NonBlockingWriter;
 use prometheus_client::metrics::counter::Counter;
 use std::io::{self, Write};
 use std::sync::mpsc::{Receiver, Sender, channel};
@@ -29,7 +29,7 @@
     let (written, lines) = channel();
     let dropped = Counter::default();
     let output = BlockedOutput { release: released, written };
-    let mut writer = BoundedWriter::start(output, dropped.clone()).unwrap();
+    let mut writer = NonBlockingWriter::start(output, dropped.clone()).unwrap();
     for _ in 0..5_000 {
         writer.write_all(b"event=test\n").unwrap();
     }
--- a/tests/relay/trace.rs
+++ b/tests/relay/trace.rs
@@ -1,6 +1,6 @@
 //! Trace of a request from the logs of several nodes.
 
-use coriandertide::cli::trace::story;
+use coriandertide::cli::trace::trace_request;
 
 const LOGS: &str = "\
 2.0 n1 ts=2026-06-21T12:40:02.000Z level=info event=routed request=aa route=r server=s1 cost_ms=40
@@ -14,7 +14,7 @@
 
 #[test]
 fn a_trace_contains_the_request_and_its_servers() {
-    insta::assert_snapshot!(story(LOGS.as_bytes(), "aa").unwrap(), @r"
+    insta::assert_snapshot!(trace_request(LOGS.as_bytes(), "aa").unwrap(), @r"
       +0 ms  2.0 n1                       event=routed request=aa route=r server=s1 cost_ms=40
     +700 ms  2.1 n1                       event=attempt_failed request=aa route=r step=read_head
     +701 ms  2.1 n1                       event=refused request=aa reason=outcome_unknown
@@ -24,5 +24,5 @@
 
 #[test]
 fn unknown_requests_are_reported() {
-    assert_eq!(story(LOGS.as_bytes(), "cc").unwrap(), "no line names request cc\n");
+    assert_eq!(trace_request(LOGS.as_bytes(), "cc").unwrap(), "no line names request cc\n");
 }
