--- a/src/logging/non_blocking.rs
+++ b/src/logging/non_blocking.rs
@@ -1,37 +1,38 @@
-//! Writer of log lines that never blocks: a thread of its own writes them, and lines for which the
-//! queue has no room are dropped and counted.
+//! Log writer that never blocks the caller: a background thread writes the queued lines, and lines
+//! that do not fit in the queue are dropped and counted.
 
 use prometheus_client::metrics::counter::Counter;
 use std::io::{self, Write};
 use std::sync::mpsc::{Receiver, SyncSender, TrySendError, sync_channel};
 use std::thread;
 
-/// Lines that may wait to be written.
-const QUEUED_LINES: usize = 1_024;
+/// Maximum number of queued lines.
+const MAX_QUEUED_LINES: usize = 1_024;
 
-/// Writer that hands lines to a thread.
+/// Writer that queues lines for a background thread; each call of `write` must pass a whole line.
 #[derive(Debug)]
 pub struct NonBlockingWriter {
     lines: SyncSender<Vec<u8>>,
+    /// Counts all dropped lines.
     dropped: Counter,
-    /// Lines dropped since the last one that was queued.
-    dropped_in_a_row: u64,
+    /// Lines dropped since the last line that reports the number of dropped ones.
+    unreported_drops: u64,
 }
 
 impl NonBlockingWriter {
-    /// Starts a thread that writes to `output`; `dropped` counts the lines that it could not take.
+    /// Starts a thread that writes to `output`; `dropped` counts the lines that are dropped.
     ///
     /// # Errors
     ///
-    /// The thread cannot be started.
+    /// The error of the operating system if the thread cannot be started.
     pub fn start(output: impl Write + Send + 'static, dropped: Counter) -> io::Result<Self> {
-        let (lines, queue) = sync_channel(QUEUED_LINES);
+        let (lines, queue) = sync_channel(MAX_QUEUED_LINES);
         thread::Builder::new().name(String::from("log")).spawn(move || write(&queue, output))?;
-        Ok(Self { lines, dropped, dropped_in_a_row: 0 })
+        Ok(Self { lines, dropped, unreported_drops: 0 })
     }
 
-    /// Queues `line`; returns whether there was room.
-    fn queue(&mut self, line: Vec<u8>) -> bool {
+    /// Queues `line` if there is room; returns whether it did.
+    fn try_queue(&mut self, line: Vec<u8>) -> bool {
         match self.lines.try_send(line) {
             Ok(()) => true,
             Err(TrySendError::Full(_) | TrySendError::Disconnected(_)) => false,
@@ -39,10 +40,11 @@
     }
 }
 
+/// Writes the queued lines until the writer is dropped or `output` fails.
 fn write(queue: &Receiver<Vec<u8>>, mut output: impl Write) {
     while let Ok(line) = queue.recv() {
         if output.write_all(&line).and_then(|()| output.flush()).is_err() {
-            // Nobody reads standard output any more; there is nowhere left to say so.
+            // The output is closed, so there is nowhere left to report the error.
             return;
         }
     }
@@ -50,15 +52,15 @@
 
 impl Write for NonBlockingWriter {
     fn write(&mut self, line: &[u8]) -> io::Result<usize> {
-        if self.dropped_in_a_row > 0 {
-            let note =
-                format!("level=warn event=log_lines_dropped lines={}\n", self.dropped_in_a_row);
-            if self.queue(note.into_bytes()) {
-                self.dropped_in_a_row = 0;
+        if self.unreported_drops > 0 {
+            let report =
+                format!("level=warn event=log_lines_dropped lines={}\n", self.unreported_drops);
+            if self.try_queue(report.into_bytes()) {
+                self.unreported_drops = 0;
             }
         }
-        if !self.queue(line.to_vec()) {
-            self.dropped_in_a_row += 1;
+        if !self.try_queue(line.to_vec()) {
+            self.unreported_drops += 1;
             self.dropped.inc();
         }
         Ok(line.len())
--- a/src/metrics/labels.rs
+++ b/src/metrics/labels.rs
@@ -3,30 +3,30 @@
 use crate::types::PeerError;
 use prometheus_client::encoding::EncodeLabelSet;
 
-/// Labels of what a workspace asked for.
+/// Label of a metric per workspace.
 #[derive(Clone, Debug, EncodeLabelSet, Eq, Hash, PartialEq)]
 pub struct WorkspaceLabels {
-    /// Workspace.
+    /// Name of the workspace.
     pub workspace: String,
 }
 
 /// Labels of a failed call.
 #[derive(Clone, Debug, EncodeLabelSet, Eq, Hash, PartialEq)]
 pub struct FailureLabels {
-    /// Code of the failure.
+    /// Error code.
     pub code: String,
-    /// Whether the call was run.
+    /// Run state: `not_run` or `outcome_unknown`.
     pub run: String,
 }
 
-/// Label of a reason or outcome that comes from a closed set.
+/// Label of a reason or outcome from a fixed set.
 #[derive(Clone, Debug, EncodeLabelSet, Eq, Hash, PartialEq)]
 pub struct ReasonLabels {
     /// Reason.
     pub reason: String,
 }
 
-/// Labels of a failed exchange.
+/// Labels of a failed exchange with a peer.
 #[derive(Clone, Debug, EncodeLabelSet, Eq, Hash, PartialEq)]
 pub struct PeerLabels {
     /// Kind of peer: `engine`, `service`, `log` or `instance_list`.
@@ -36,7 +36,7 @@
 }
 
 impl PeerLabels {
-    /// Returns the labels of a failed exchange with a peer of this kind.
+    /// Returns the labels of `error`; `peer` is the kind of peer.
     pub fn new(peer: &str, error: &PeerError) -> Self {
         Self { peer: peer.to_owned(), step: error.step.to_string() }
     }
@@ -45,13 +45,13 @@
 /// Label of a lease.
 #[derive(Clone, Debug, EncodeLabelSet, Eq, Hash, PartialEq)]
 pub struct LeaseLabels {
-    /// Lease.
+    /// Kind of the lease.
     pub lease: String,
 }
 
 /// Label of a log stream.
 #[derive(Clone, Debug, EncodeLabelSet, Eq, Hash, PartialEq)]
 pub struct StreamLabels {
-    /// Stream.
+    /// Name of the stream.
     pub stream: String,
 }
--- a/src/metrics/mod.rs
+++ b/src/metrics/mod.rs
@@ -1,6 +1,6 @@
-//! Metrics of a node, in one struct, exposed in the OpenMetrics text format.
+//! Metrics of a node, exposed in the OpenMetrics text format.
 //!
-//! Every family is described in `docs/operators/metrics.md`.
+//! `docs/operators/metrics.md` describes every metric family.
 
 pub mod labels;
 
@@ -19,29 +19,29 @@
 use std::sync::atomic::AtomicU64;
 use std::time::Duration;
 
-/// Gauge of a value with fractions.
+/// Gauge of a time in seconds, with fractions.
 pub type SecondsGauge = Gauge<f64, AtomicU64>;
 
-/// Upper bounds of the latency buckets, in seconds.
+/// Upper bounds of the latency histogram buckets, in seconds.
 const LATENCY_BUCKETS_S: [f64; 12] =
     [0.01, 0.025, 0.05, 0.1, 0.2, 0.31, 0.5, 1.0, 2.0, 5.0, 15.0, 60.0];
 
-/// Latency histogram for each label set.
+/// Family of latency histograms, one for each label set.
 #[derive(Clone, Debug)]
 pub struct LatencyFamily<L>(Family<L, Histogram, fn() -> Histogram>);
 
 impl<L: Clone + Eq + Hash> LatencyFamily<L> {
-    /// Returns a family whose histograms `histogram` makes.
+    /// Creates a family; `histogram` constructs the histogram of a new label set.
     pub fn new(histogram: fn() -> Histogram) -> Self {
         Self(Family::new_with_constructor(histogram))
     }
 
-    /// Counts a latency.
+    /// Records `latency` in the histogram of `labels`.
     pub fn observe(&self, labels: &L, latency: Duration) {
         self.0.get_or_create(labels).observe(latency.as_secs_f64());
     }
 
-    /// Returns the family as the registry takes it.
+    /// Returns the underlying family, to be registered.
     pub fn family(&self) -> Family<L, Histogram, fn() -> Histogram> {
         self.0.clone()
     }
@@ -53,30 +53,30 @@
     }
 }
 
-/// All metrics of a node. Clones share their values.
+/// Metrics of a node; clones share their values. Fields have the names of the exposed metrics.
 #[derive(Clone, Debug, Default)]
 pub struct Metrics {
-    /// Complete answers to model requests.
+    /// Model requests answered completely.
     pub answers: Family<WorkspaceLabels, Counter>,
-    /// Calls that ended in a failure, by its code and whether they were run.
+    /// Failed calls, by error code and by whether they were executed.
     pub failures: Family<FailureLabels, Counter>,
-    /// Time from accepting a request to its first token.
+    /// Time to first token, measured from the acceptance of the request.
     pub first_token_seconds: LatencyFamily<WorkspaceLabels>,
     /// Prompt tokens sent to engines.
     pub prompt_tokens: Family<WorkspaceLabels, Counter>,
-    /// Prompt tokens that engines took from their cache.
+    /// Prompt tokens that engines reused from their KV cache.
     pub cached_tokens: Family<WorkspaceLabels, Counter>,
-    /// Prompt tokens computed though the router expected them to be cached.
+    /// Prompt tokens that the router expected to be cached but the engine recomputed.
     pub recomputed_tokens: Family<WorkspaceLabels, Counter>,
-    /// Routing decisions by reason.
+    /// Routing decisions, by reason.
     pub route_decisions: Family<ReasonLabels, Counter>,
-    /// Attempts of model requests after the first.
+    /// Retries of model requests.
     pub retries: Counter,
-    /// Exchanges with peers that failed, by peer and step.
+    /// Failed exchanges with peers, by kind of peer and step.
     pub peer_errors: Family<PeerLabels, Counter>,
     /// Leases held by this node.
     pub leases_held: Gauge,
-    /// Fencing number of the last acquisition of a lease, by lease.
+    /// Fencing number of the latest acquisition, by lease.
     pub lease_fencing_number: Family<LeaseLabels, Gauge>,
     /// Placement orders, by reason.
     pub placement_orders: Family<ReasonLabels, Counter>,
@@ -84,35 +84,35 @@
     pub power_share_watts: Gauge,
     /// Watts that this node has committed.
     pub power_committed_watts: Gauge,
-    /// Watts given to partners and not regained.
+    /// Watts granted to partners and not returned yet.
     pub power_given_watts: Gauge,
-    /// Watts received from partners.
+    /// Watts granted by partners.
     pub power_received_watts: Gauge,
-    /// Attempts cancelled because the budget no longer covered them.
+    /// Attempts cancelled because the power budget no longer covered them.
     pub power_shed: Counter,
-    /// Live nodes as this node sees them, itself included.
+    /// Nodes that this node considers live, including itself.
     pub live_nodes: Gauge,
     /// Bytes sent to partners.
     pub link_sent_bytes: Counter,
     /// Bytes received from partners.
     pub link_received_bytes: Counter,
-    /// Messages to partners that were dropped because a connection was full.
+    /// Messages to partners dropped because the send queue of the connection was full.
     pub link_dropped_messages: Counter,
-    /// Verdicts on calls with an idempotency key.
+    /// Verdicts on the claims of calls with an idempotency key.
     pub claims: Family<ReasonLabels, Counter>,
-    /// Offset up to which a log stream has been read.
+    /// Offset of the next read, by log stream.
     pub log_read_offset: Family<StreamLabels, Gauge>,
-    /// Time of the last successful read of a log stream, in seconds since the Unix epoch.
+    /// Unix time of the last successful read, by log stream.
     pub log_read_timestamp_seconds: Family<StreamLabels, SecondsGauge>,
-    /// Reads of a log stream that failed.
+    /// Failed reads, by log stream.
     pub log_read_failures: Family<StreamLabels, Counter>,
     /// Revision of the document in force.
     pub document_revision: Gauge,
-    /// Revision that the log has accepted; above the one in force if this build cannot check it.
+    /// Latest accepted revision; above the revision in force while that document is held back.
     pub document_accepted_revision: Gauge,
-    /// 1 while the accepted document cannot be put in force by this build.
+    /// 1 while the latest accepted document is held back because this build finds it invalid.
     pub document_held_back: Gauge,
-    /// Malformed records met on the configuration stream.
+    /// Malformed records read from the configuration stream.
     pub configuration_bad_records: Counter,
     /// Requests to the administration API, by outcome.
     pub admin_requests: Family<ReasonLabels, Counter>,
@@ -264,11 +264,11 @@
     }
 }
 
-/// Returns the text that a scrape gets.
+/// Encodes the metrics of `registry` in the OpenMetrics text format.
 ///
 /// # Errors
 ///
-/// A metric whose value cannot be written as text.
+/// The encoder's error if a metric cannot be encoded.
 pub fn encode(registry: &Registry) -> Result<String, fmt::Error> {
     let mut text = String::new();
     text::encode(&mut text, registry)?;
--- a/tests/relay/logging.rs
+++ b/tests/relay/logging.rs
@@ -1,11 +1,12 @@
-//! A blocked standard output neither delays requests nor grows memory.
+//! A blocked log output must neither block the threads that log nor let the queue grow without
+//! bound.
 
 use coriandertide::logging::non_blocking::NonBlockingWriter;
 use prometheus_client::metrics::counter::Counter;
 use std::io::{self, Write};
 use std::sync::mpsc::{Receiver, Sender, channel};
 
-/// Output that blocks until it is released.
+/// Output whose writes block until `release` is disconnected, and are then sent to `written`.
 struct BlockedOutput {
     release: Receiver<()>,
     written: Sender<String>,
@@ -13,7 +14,7 @@
 
 impl Write for BlockedOutput {
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
-        let _released = self.release.recv();
+        let _disconnected = self.release.recv();
         self.written.send(String::from_utf8_lossy(bytes).into_owned()).map_err(io::Error::other)?;
         Ok(bytes.len())
     }
@@ -36,10 +37,10 @@
     let first_dropped = dropped.get();
     assert!((3_900..=5_000).contains(&first_dropped), "{first_dropped}");
     drop(release);
-    // The queue empties; the next line is preceded by the number of dropped ones.
-    let mut seen: Vec<String> = (0..1_024).map(|_| lines.recv().unwrap()).collect();
-    while !seen.iter().any(|line| line.contains("event=log_lines_dropped lines=")) {
+    // Once the queue has room, the next line is preceded by a report of the dropped ones.
+    let mut received: Vec<String> = (0..1_024).map(|_| lines.recv().unwrap()).collect();
+    while !received.iter().any(|line| line.contains("event=log_lines_dropped lines=")) {
         writer.write_all(b"event=last\n").unwrap();
-        seen.push(lines.recv().unwrap());
+        received.push(lines.recv().unwrap());
     }
 }
