--- a/src/cli/apply.rs
+++ b/src/cli/apply.rs
@@ -1,4 +1,4 @@
-//! Makes a change and waits until it is in force on all nodes.
+//! Commands that apply a change and wait until it is in force on all nodes.
 
 use super::client::{AdminClient, ClientError};
 use super::config::{PlannedChange, plan};
@@ -16,25 +16,27 @@
 use std::io::BufRead;
 use std::time::{Duration, Instant};
 
-/// Time between two looks at the nodes.
-const WAIT_PERIOD: Duration = Duration::from_millis(200);
-/// Times that a change is planned anew after sections it does not touch changed meanwhile.
-const PLAN_ATTEMPTS: u32 = 5;
-/// Times that an edit whose answer was lost is sent again.
-const SEND_ATTEMPTS: u32 = 5;
+/// Time between two polls of the nodes, and before an edit is sent again.
+const POLL_PERIOD: Duration = Duration::from_millis(200);
+/// Maximum number of times that a change is planned, including the plan shown to the user. It is
+/// planned again if sections that its validation depends on have changed.
+const MAX_PLANS: u32 = 5;
+/// Maximum number of times that an edit is sent while its outcome is unknown.
+const MAX_SENDS: u32 = 5;
 
 /// Options of `apply`.
 #[derive(Clone, Copy, Debug)]
 pub struct ApplyOptions {
-    /// Do not ask.
+    /// Apply without asking for confirmation.
     pub yes: bool,
-    /// Do not wait for the nodes.
+    /// Return once the edit is accepted, without waiting for the nodes.
     pub no_wait: bool,
-    /// Seconds to wait for the nodes.
+    /// Maximum time to wait for the nodes.
     pub timeout_s: u64,
 }
 
-/// Shows what a file would change, makes the change and waits for the nodes.
+/// Prints the differences that a file makes, applies them after confirmation and waits until they
+/// are in force.
 pub async fn apply(
     connection: &Connection,
     change: &Change,
@@ -45,7 +47,7 @@
         print_line(if connection.json { "{}" } else { "nothing to change" });
         return Ok(ExitStatus::Success);
     }
-    show(connection, &planned);
+    print_differences(connection, &planned);
     if !options.yes && !confirm()? {
         return Ok(ExitStatus::Different);
     }
@@ -61,7 +63,7 @@
     wait(connection, reply.revision, options.timeout_s).await
 }
 
-/// Waits until `revision` is in force on all nodes that are not suspected to be gone.
+/// Waits until `revision` is in force on all nodes except suspected ones.
 pub async fn wait(
     connection: &Connection,
     revision: Revision,
@@ -69,30 +71,31 @@
 ) -> Result<ExitStatus, CliError> {
     let client = connection.client();
     let deadline = Instant::now() + Duration::from_secs(timeout_s);
-    let mut shown = String::new();
+    let mut printed = String::new();
     loop {
         let reply: NodesReply = client.get("/admin/v1/nodes").await?;
-        let waited_for = reply.nodes.iter().filter(|node| node.state != NodeState::Suspected);
-        let (done, open): (Vec<_>, Vec<_>) =
-            waited_for.partition(|node| node.in_force.is_some_and(|in_force| in_force >= revision));
-        let progress = format!("in force on {} of {} nodes", done.len(), done.len() + open.len());
-        if progress != shown {
+        let responding = reply.nodes.iter().filter(|node| node.state != NodeState::Suspected);
+        let (updated, outdated): (Vec<_>, Vec<_>) =
+            responding.partition(|node| node.in_force.is_some_and(|in_force| in_force >= revision));
+        let progress =
+            format!("in force on {} of {} nodes", updated.len(), updated.len() + outdated.len());
+        if progress != printed {
             eprintln!("{progress}");
-            shown = progress;
+            printed = progress;
         }
-        if open.is_empty() {
+        if outdated.is_empty() {
             return Ok(ExitStatus::Success);
         }
         if Instant::now() >= deadline {
-            let names: Vec<&str> = open.iter().map(|node| node.instance.as_str()).collect();
+            let names: Vec<&str> = outdated.iter().map(|node| node.instance.as_str()).collect();
             let message = format!("revision {revision} is not in force on {}", names.join(", "));
             return Err(CliError::new(ExitStatus::TimedOut, message));
         }
-        Timer::after(WAIT_PERIOD).await;
+        Timer::after(POLL_PERIOD).await;
     }
 }
 
-fn show(connection: &Connection, planned: &PlannedChange) {
+fn print_differences(connection: &Connection, planned: &PlannedChange) {
     let found = differences(&planned.accepted, &planned.changes);
     if connection.json {
         eprintln!("{}", json!(found));
@@ -111,8 +114,8 @@
     Ok(matches!(answer.trim(), "y" | "Y" | "yes"))
 }
 
-/// Sends the edit. A change that was overtaken by other sections is planned anew, as long as it
-/// stays the change that was shown.
+/// Submits the planned changes as an edit. If another edit has overtaken their validation, plans
+/// them again and retries, as long as the changes are the ones shown to the user.
 async fn submit(
     connection: &Connection,
     change: &Change,
@@ -120,25 +123,25 @@
 ) -> Result<EditReply, CliError> {
     let client = connection.client();
     let changes = planned.changes;
-    for _ in 1..PLAN_ATTEMPTS {
+    for _ in 1..MAX_PLANS {
         let edit_id = format_smolstr!("{:016x}", fastrand::u64(..));
         let request = EditRequest { edit_id, changes: changes.clone() };
-        match send(&client, &request).await {
+        match send_edit(&client, &request).await {
             Err(ClientError::Refused(body)) if is_code(&body.code, ErrorCode::Overtaken) => {}
             other => return Ok(other?),
         }
-        let again = plan(connection, change).await?;
-        if again.changes != changes {
-            let message = "the document changed meanwhile; look at the difference again";
+        let replanned = plan(connection, change).await?;
+        if replanned.changes != changes {
+            let message = "the document has changed; review the differences and apply again";
             return Err(CliError::new(ExitStatus::Conflict, message));
         }
     }
-    let message = "other sections keep changing; try again later";
+    let message = "other sections of the document keep changing; try again later";
     Err(CliError::new(ExitStatus::Conflict, message))
 }
 
-/// Sends the edit again under the same id while its answer is lost.
-async fn send(client: &AdminClient, request: &EditRequest) -> Result<EditReply, ClientError> {
+/// Sends an edit, and again under the same id while its outcome is unknown.
+async fn send_edit(client: &AdminClient, request: &EditRequest) -> Result<EditReply, ClientError> {
     let mut attempts = 0;
     loop {
         attempts += 1;
@@ -150,11 +153,11 @@
             ClientError::Peer(_) => true,
             ClientError::Refused(body) => is_code(&body.code, ErrorCode::OutcomeUnknown),
         };
-        if !is_unknown || attempts >= SEND_ATTEMPTS {
+        if !is_unknown || attempts >= MAX_SENDS {
             return Err(error);
         }
-        eprintln!("no answer; asking again for edit {}", request.edit_id);
-        Timer::after(WAIT_PERIOD).await;
+        eprintln!("outcome of edit {} unknown; sending it again", request.edit_id);
+        Timer::after(POLL_PERIOD).await;
     }
 }
 
--- a/src/cli/client.rs
+++ b/src/cli/client.rs
@@ -1,4 +1,4 @@
-//! Client of the administration API.
+//! HTTP client of the administration API.
 
 use crate::adapters::http_client;
 use crate::admin::messages::{ErrorBody, ErrorReply};
@@ -12,10 +12,10 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-/// Time that an exchange may take; an edit takes longest.
+/// Timeout of a request; longer than a node waits for the outcome of an edit.
 const EXCHANGE_TIMEOUT: Duration = Duration::from_secs(15);
-/// Most bytes of a reply.
-const REPLY_LIMIT_BYTES: usize = 64 * 1024 * 1024;
+/// Maximum size of a reply body.
+const MAX_REPLY_BYTES: usize = 64 * 1024 * 1024;
 
 /// Client of a node's administration API.
 #[derive(Clone, Debug)]
@@ -27,30 +27,30 @@
 /// Error of an exchange with a node.
 #[derive(Debug)]
 pub enum ClientError {
-    /// The exchange failed.
+    /// The exchange failed; no reply could be decoded.
     Peer(PeerError),
-    /// The node refused the request.
+    /// The node replied with an error.
     Refused(Box<ErrorBody>),
 }
 
 impl AdminClient {
-    /// Returns a client of the node at `address`.
+    /// Returns a client of the node at `address` that authenticates with `key`.
     pub fn new(address: SocketAddr, key: impl Into<String>) -> Self {
         Self { address, key: key.into() }
     }
 
-    /// Reads `path`.
+    /// Sends a GET request and decodes the reply.
     pub async fn get<T: DeserializeOwned>(&self, path: &str) -> Result<T, ClientError> {
         self.exchange(Method::GET, path, Bytes::new()).await
     }
 
-    /// Sends `body` to `path`.
+    /// Sends a POST request with `body` as JSON and decodes the reply.
     pub async fn post<T: DeserializeOwned>(
         &self,
         path: &str,
         body: &impl Serialize,
     ) -> Result<T, ClientError> {
-        let bytes = serde_json::to_vec(body).expect("a request encodes as JSON");
+        let bytes = serde_json::to_vec(body).expect("every request can be encoded as JSON");
         self.exchange(Method::POST, path, bytes.into()).await
     }
 
@@ -61,11 +61,11 @@
         body: Bytes,
     ) -> Result<T, ClientError> {
         let deadline = Instant::now() + EXCHANGE_TIMEOUT;
-        let request = self.request(method, path, body)?;
+        let request = self.build_request(method, path, body)?;
         let mut exchange =
             http_client::send(self.address, request, deadline).await.map_err(ClientError::Peer)?;
         let bytes =
-            exchange.read_all(REPLY_LIMIT_BYTES, deadline).await.map_err(ClientError::Peer)?;
+            exchange.read_all(MAX_REPLY_BYTES, deadline).await.map_err(ClientError::Peer)?;
         let decode_error = |error: serde_json::Error| {
             ClientError::Peer(exchange.error(Step::Decode, error.into()))
         };
@@ -76,7 +76,7 @@
         Err(ClientError::Refused(Box::new(reply.error)))
     }
 
-    fn request(
+    fn build_request(
         &self,
         method: Method,
         path: &str,
--- a/src/cli/config.rs
+++ b/src/cli/config.rs
@@ -1,4 +1,4 @@
-//! Commands that read and compare the configuration document.
+//! Commands that read, validate, compare and restore the configuration document.
 
 use super::client::AdminClient;
 use super::diff::{BASE_REVISION, DocumentFile, differences, format_difference};
@@ -14,22 +14,22 @@
 use serde_json::json;
 use std::path::Path;
 
-/// What a file would change.
+/// Changes that a file makes to the accepted document.
 pub struct PlannedChange {
-    /// Accepted document.
+    /// Accepted document that the changes are based on.
     pub accepted: DocumentReply,
-    /// Changes.
+    /// Changes to its sections.
     pub changes: Vec<SectionChange>,
 }
 
 impl Connection {
-    /// Returns a client of the node.
+    /// Returns a client of the node's administration API.
     pub fn client(&self) -> AdminClient {
         AdminClient::new(self.node, self.key.clone())
     }
 }
 
-/// Prints the document with the revision it has, or one section.
+/// Prints the accepted document with its revision, or one section.
 pub async fn get(connection: &Connection, section: Option<&str>) -> Result<ExitStatus, CliError> {
     let reply: DocumentReply = connection.client().get("/admin/v1/document").await?;
     let Some(section) = section else {
@@ -52,7 +52,7 @@
     Ok(ExitStatus::Success)
 }
 
-/// Checks a file against the document.
+/// Prints the faults of the document that would result from a file.
 pub async fn validate(connection: &Connection, change: &Change) -> Result<ExitStatus, CliError> {
     let planned = plan(connection, change).await?;
     let request = ValidateRequest { changes: planned.changes };
@@ -67,7 +67,7 @@
     Ok(if reply.faults.is_empty() { ExitStatus::Success } else { ExitStatus::Invalid })
 }
 
-/// Shows what a file would change.
+/// Prints the differences between the accepted document and a file.
 pub async fn diff(connection: &Connection, change: &Change) -> Result<ExitStatus, CliError> {
     let planned = plan(connection, change).await?;
     let found = differences(&planned.accepted, &planned.changes);
@@ -79,15 +79,15 @@
     Ok(if found.is_empty() { ExitStatus::Success } else { ExitStatus::Different })
 }
 
-/// Sets the document of a site whose log has lost it.
+/// Restores a document whose records expired from the log while no node was running.
 pub async fn restore(connection: &Connection, file: &Path) -> Result<ExitStatus, CliError> {
-    let request = RestoreRequest { document: read_file(file)?.document };
+    let request = RestoreRequest { document: read_document_file(file)?.document };
     let reply: EditReply = connection.client().post("/admin/v1/restore", &request).await?;
     print_json(&reply);
     Ok(ExitStatus::Success)
 }
 
-/// Shows recent edits.
+/// Prints recent edits and their outcomes.
 pub async fn history(
     connection: &Connection,
     section: Option<&str>,
@@ -107,9 +107,10 @@
     Ok(ExitStatus::Success)
 }
 
-/// Works out what a file would change, unless others changed the same sections since it was made.
+/// Computes the changes that a file makes. Fails if a changed section was edited after the file's
+/// base revision, unless `change.force` is set.
 pub async fn plan(connection: &Connection, change: &Change) -> Result<PlannedChange, CliError> {
-    let file = read_file(&change.file)?;
+    let file = read_document_file(&change.file)?;
     let accepted: DocumentReply = connection.client().get("/admin/v1/document").await?;
     let changes = file.changes(&accepted, change.prune);
     let outdated = file.outdated(&changes);
@@ -121,12 +122,12 @@
     Err(CliError::new(ExitStatus::Conflict, lines.join("\n")))
 }
 
-fn read_file(path: &Path) -> Result<DocumentFile, CliError> {
-    let failed = |message: String| {
+fn read_document_file(path: &Path) -> Result<DocumentFile, CliError> {
+    let file_error = |message: String| {
         CliError::new(ExitStatus::Failure, format!("{}: {message}", path.display()))
     };
-    let text = std::fs::read_to_string(path).map_err(|error| failed(error.to_string()))?;
-    DocumentFile::parse(&text).map_err(failed)
+    let text = std::fs::read_to_string(path).map_err(|error| file_error(error.to_string()))?;
+    DocumentFile::parse(&text).map_err(file_error)
 }
 
 fn format_outdated(accepted: &DocumentReply, change: &SectionChange) -> String {
--- a/src/cli/diff.rs
+++ b/src/cli/diff.rs
@@ -8,33 +8,33 @@
 use serde_json::Value;
 use std::collections::BTreeSet;
 
-/// Field of a document file that names the revision it was made from.
+/// Field of a document file with the revision that the file is based on.
 pub const BASE_REVISION: &str = "base_revision";
 
-/// Document file: a document or a part of it.
+/// Contents of a document file: a document or part of one.
 #[derive(Clone, Debug, PartialEq)]
 pub struct DocumentFile {
-    /// Revision that the file was made from, if it names one.
+    /// Revision that the file is based on, if given.
     pub base_revision: Option<Revision>,
-    /// Document.
+    /// Document, without the base revision.
     pub document: Value,
 }
 
-/// Difference of one value.
+/// Difference of one value between the accepted document and a file.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Difference {
-    /// Section.
+    /// Path of the section.
     pub section: SectionPath,
-    /// Path within the section, empty for the whole section.
+    /// Path of the value within the section, empty for the whole section.
     pub path: String,
-    /// Value in the accepted document.
+    /// Value in the accepted document, if any.
     pub before: Option<Value>,
-    /// Value in the file.
+    /// Value in the file, if any.
     pub after: Option<Value>,
 }
 
 impl DocumentFile {
-    /// Reads a file's content; the error says what is wrong with it.
+    /// Parses the text of a file; the error is a message for people.
     pub fn parse(text: &str) -> Result<Self, String> {
         let mut document: Value = serde_json::from_str(text).map_err(|error| error.to_string())?;
         let Some(fields) = document.as_object_mut() else {
@@ -50,24 +50,25 @@
         Ok(Self { base_revision, document })
     }
 
-    /// Returns the changes that lead from the accepted document to the file; sections that only
-    /// the accepted document has are removed if `prune`.
+    /// Returns the changes that turn the accepted document into the file. Sections missing in the
+    /// file are removed if `prune`, otherwise they stay as they are.
     pub fn changes(&self, accepted: &DocumentReply, prune: bool) -> Vec<SectionChange> {
-        let wanted = split_json(&self.document);
+        let file_sections = split_json(&self.document);
         let mut changes = Vec::new();
-        for (section, value) in &wanted {
+        for (section, value) in &file_sections {
             let current = accepted.sections.get(section);
             if current.is_some_and(|current| current.value == *value) {
                 continue;
             }
             changes.push(SectionChange {
                 section: section.clone(),
-                base_revision: revision_of(accepted, section),
+                base_revision: section_revision(accepted, section),
                 value: Some(value.clone()),
             });
         }
         if prune {
-            let missing = accepted.sections.iter().filter(|(name, _)| !wanted.contains_key(*name));
+            let missing =
+                accepted.sections.iter().filter(|(name, _)| !file_sections.contains_key(*name));
             changes.extend(missing.map(|(section, current)| SectionChange {
                 section: section.clone(),
                 base_revision: current.revision,
@@ -77,7 +78,7 @@
         changes
     }
 
-    /// Returns the changes to sections that were edited after the file's base revision.
+    /// Returns those of `changes` whose sections were edited after the file's base revision.
     pub fn outdated<'a>(&self, changes: &'a [SectionChange]) -> Vec<&'a SectionChange> {
         let Some(base_revision) = self.base_revision else {
             return Vec::new();
@@ -86,36 +87,38 @@
     }
 }
 
-/// Returns the differences that `changes` make, value by value.
+/// Returns the values that `changes` change in the accepted document.
 pub fn differences(accepted: &DocumentReply, changes: &[SectionChange]) -> Vec<Difference> {
     let mut found = Vec::new();
     for change in changes {
         let before = accepted.sections.get(&change.section).map(|current| &current.value);
-        compare(&change.section, String::new(), before, change.value.as_ref(), &mut found);
+        add_differences(&change.section, String::new(), before, change.value.as_ref(), &mut found);
     }
     found
 }
 
-/// Returns a difference as lines for people.
+/// Formats a difference as one line for people.
 pub fn format_difference(difference: &Difference) -> String {
     let Difference { section, path, before, after } = difference;
-    let place = if path.is_empty() { section.to_string() } else { format!("{section}.{path}") };
+    let full_path = if path.is_empty() { section.to_string() } else { format!("{section}.{path}") };
     match (before, after) {
-        (None, Some(after)) => format!("+ {place}: {after}"),
-        (Some(before), None) => format!("- {place}: {before}"),
-        (Some(before), Some(after)) => format!("~ {place}: {before} -> {after}"),
-        (None, None) => place,
+        (None, Some(after)) => format!("+ {full_path}: {after}"),
+        (Some(before), None) => format!("- {full_path}: {before}"),
+        (Some(before), Some(after)) => format!("~ {full_path}: {before} -> {after}"),
+        (None, None) => full_path,
     }
 }
 
-fn revision_of(accepted: &DocumentReply, section: &SectionPath) -> Revision {
+/// Returns the revision of a section in the accepted document, 0 if it never existed.
+fn section_revision(accepted: &DocumentReply, section: &SectionPath) -> Revision {
     match accepted.sections.get(section) {
         Some(current) => current.revision,
         None => accepted.removed.get(section).copied().unwrap_or(0),
     }
 }
 
-fn compare(
+/// Adds the differences between two values to `found`, field by field for objects.
+fn add_differences(
     section: &SectionPath,
     path: String,
     before: Option<&Value>,
@@ -128,8 +131,8 @@
     if let (Some(Value::Object(old)), Some(Value::Object(new))) = (before, after) {
         let names: BTreeSet<&String> = old.keys().chain(new.keys()).collect();
         for name in names {
-            let inner = if path.is_empty() { name.clone() } else { format!("{path}.{name}") };
-            compare(section, inner, old.get(name), new.get(name), found);
+            let field_path = if path.is_empty() { name.clone() } else { format!("{path}.{name}") };
+            add_differences(section, field_path, old.get(name), new.get(name), found);
         }
         return;
     }
--- a/src/cli/exit.rs
+++ b/src/cli/exit.rs
@@ -4,43 +4,43 @@
 use crate::admin::ErrorCode;
 use crate::admin::messages::ErrorBody;
 
-/// Exit code.
+/// Exit code of the command line.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 #[repr(u8)]
 pub enum ExitStatus {
-    /// Done.
+    /// The command succeeded.
     Success = 0,
-    /// Wrong use, unreadable file or any other failure.
+    /// Wrong usage, unreadable file or any other failure.
     Failure = 1,
-    /// The document would have faults.
+    /// The document is invalid.
     Invalid = 2,
-    /// Somebody else changed a section first.
+    /// The change conflicts with a later one.
     Conflict = 3,
-    /// The key is not known or may not do this.
+    /// The key is unknown or does not allow the command.
     Forbidden = 4,
-    /// The node or the log could not be reached; nothing was changed.
+    /// The node or the log could not be reached.
     Unavailable = 5,
-    /// The change may have been made.
+    /// The change may have been applied.
     OutcomeUnknown = 6,
-    /// The revision is not in force on all nodes yet.
+    /// The revision was not in force on all nodes before the timeout.
     TimedOut = 7,
-    /// There are differences.
+    /// The file differs from the document.
     Different = 8,
 }
 
 /// Error that ends a command.
 #[derive(Debug)]
 pub struct CliError {
-    /// Exit code.
+    /// Exit code of the command.
     pub status: ExitStatus,
-    /// What went wrong.
+    /// Message for people.
     pub message: String,
-    /// Error of the API, if one was received.
+    /// Error reply of the API, if one was received.
     pub body: Option<Box<ErrorBody>>,
 }
 
 impl CliError {
-    /// Returns an error without a reply of the API.
+    /// Returns an error without an error reply of the API.
     pub fn new(status: ExitStatus, message: impl Into<String>) -> Self {
         Self { status, message: message.into(), body: None }
     }
@@ -54,12 +54,12 @@
                 return Self::new(ExitStatus::Unavailable, error.to_string());
             }
         };
-        let status = body.code.parse().map_or(ExitStatus::Failure, status_of);
+        let status = body.code.parse().map_or(ExitStatus::Failure, exit_status);
         Self { status, message: body.message.clone(), body: Some(body) }
     }
 }
 
-fn status_of(code: ErrorCode) -> ExitStatus {
+fn exit_status(code: ErrorCode) -> ExitStatus {
     match code {
         ErrorCode::InvalidRequest
         | ErrorCode::UnknownPath
--- a/src/cli/inspect.rs
+++ b/src/cli/inspect.rs
@@ -1,4 +1,4 @@
-//! Commands that show nodes, backend servers and routing decisions.
+//! Commands that show nodes, backend servers, routing decisions and request traces.
 
 use super::exit::{CliError, ExitStatus};
 use super::options::Connection;
@@ -14,7 +14,7 @@
 use std::io::Read;
 use std::path::Path;
 
-/// Shows the state of a node and the nodes it knows.
+/// Prints the status of a node and the nodes that it knows.
 pub async fn status(connection: &Connection) -> Result<ExitStatus, CliError> {
     let client = connection.client();
     let status: StatusReply = client.get("/admin/v1/status").await?;
@@ -38,8 +38,8 @@
     if let Some(offset) = status.newer_record_offset {
         print_line(&format!("record {offset} needs a later build"));
     }
-    for bad in &status.bad_records {
-        print_line(&format!("bad record {}: {}", bad.offset, bad.reason));
+    for record in &status.bad_records {
+        print_line(&format!("bad record {}: {}", record.offset, record.reason));
     }
     for (stream, reply) in &status.streams {
         let error = reply.error.as_deref().unwrap_or("none");
@@ -50,7 +50,7 @@
     Ok(ExitStatus::Success)
 }
 
-/// Shows the backend servers.
+/// Prints the backend servers as a node knows them.
 pub async fn servers(connection: &Connection) -> Result<ExitStatus, CliError> {
     let reply: ServersReply = connection.client().get("/admin/v1/servers").await?;
     if connection.json {
@@ -61,17 +61,18 @@
     Ok(ExitStatus::Success)
 }
 
-/// Shows where a request would go and why.
+/// Prints the routing decision for a request without sending it, and the cache state of its prompt.
 pub async fn explain(
     connection: &Connection,
     workspace: WorkspaceId,
     file: &Path,
 ) -> Result<ExitStatus, CliError> {
-    let failed = |message: String| {
+    let file_error = |message: String| {
         CliError::new(ExitStatus::Failure, format!("{}: {message}", file.display()))
     };
-    let text = std::fs::read_to_string(file).map_err(|error| failed(error.to_string()))?;
-    let request: Value = serde_json::from_str(&text).map_err(|error| failed(error.to_string()))?;
+    let text = std::fs::read_to_string(file).map_err(|error| file_error(error.to_string()))?;
+    let request: Value =
+        serde_json::from_str(&text).map_err(|error| file_error(error.to_string()))?;
     let request = ExplainRequest { workspace, request };
     let reply: ExplainReply = connection.client().post("/admin/v1/explain", &request).await?;
     if connection.json {
@@ -122,11 +123,11 @@
     Ok(ExitStatus::Success)
 }
 
-/// Reads logs from standard input and prints the story of `request`.
+/// Reads logs of nodes from standard input and prints the trace of `request`.
 pub fn trace_from_input(request: &str) -> Result<ExitStatus, CliError> {
-    let story = trace::trace_request(std::io::stdin().lock(), request)
+    let lines = trace::trace_request(std::io::stdin().lock(), request)
         .map_err(|error| CliError::new(ExitStatus::Failure, error.to_string()))?;
-    print_line(story.trim_end());
+    print_line(lines.trim_end());
     Ok(ExitStatus::Success)
 }
 
--- a/src/cli/mod.rs
+++ b/src/cli/mod.rs
@@ -1,4 +1,4 @@
-//! The operators' command line, a client of the administration API.
+//! Command line for operators, a client of the administration API.
 
 pub mod apply;
 pub mod client;
@@ -16,7 +16,7 @@
 use options::{Command, ConfigCommand, command};
 use std::process::ExitCode;
 
-/// Runs the command line.
+/// Parses the arguments, runs the command and returns its exit code.
 pub fn run() -> ExitCode {
     let command = command().run();
     let is_json = command.is_json();
--- a/src/cli/output.rs
+++ b/src/cli/output.rs
@@ -1,4 +1,4 @@
-//! Output of the command line.
+//! Output of the command line: results on standard output, errors as text or JSON.
 
 use super::exit::CliError;
 use crate::admin::messages::{ErrorBody, FaultReply};
@@ -6,13 +6,13 @@
 use serde_json::json;
 use std::io::Write;
 
-/// Prints a value as JSON.
+/// Prints a value as indented JSON.
 pub fn print_json(value: &impl Serialize) {
-    let text = serde_json::to_string_pretty(value).expect("an output encodes as JSON");
+    let text = serde_json::to_string_pretty(value).expect("every output can be encoded as JSON");
     print_line(&text);
 }
 
-/// Prints a line; a closed output, such as that of `head`, is no error.
+/// Prints a line. Exits with success if standard output is closed, as by `head`.
 pub fn print_line(line: &str) {
     let mut stdout = std::io::stdout().lock();
     if writeln!(stdout, "{line}").is_err() {
@@ -20,14 +20,14 @@
     }
 }
 
-/// Prints faults, one a line.
+/// Prints faults, one per line.
 pub fn print_faults(faults: &[FaultReply]) {
     for fault in faults {
         print_line(&format!("{}: {}", fault.path, fault.message));
     }
 }
 
-/// Prints an error: JSON on the output if `is_json`, else text on the error output.
+/// Prints an error, as JSON on standard output if `is_json`, otherwise as text on standard error.
 pub fn print_error(error: &CliError, is_json: bool) {
     if is_json {
         let code = error.body.as_ref().map(|body| body.code.clone());
--- a/src/cli/trace.rs
+++ b/src/cli/trace.rs
@@ -1,73 +1,80 @@
-//! The story of one request, read from the logs of the nodes.
+//! Trace of one request, extracted from the logs of the nodes.
 
 use std::fmt::Write as _;
 use std::io::BufRead;
 
-/// Milliseconds around a request in which events of its servers belong to its story.
-const MARGIN_MS: i64 = 2_000;
+/// Time before and after a request in which events of its servers belong to the trace.
+const SERVER_EVENT_MARGIN_MS: i64 = 2_000;
 
-/// Field that names the request.
-const REQUEST_FIELD: &str = "request";
+/// Key of the request id.
+const REQUEST_KEY: &str = "request";
 
-/// Field that names a server.
-const SERVER_FIELD: &str = "server";
+/// Key of a backend server's name.
+const SERVER_KEY: &str = "server";
 
-/// Log line as far as a story needs it.
+/// Parsed log line of a node.
 #[derive(Clone, Debug, Eq, PartialEq)]
 struct LogLine {
-    /// What stands before the line, such as the name that a log collector adds.
+    /// Text before the timestamp, such as a prefix added by a log collector.
     source: String,
+    /// Timestamp in Unix milliseconds.
     unix_ms: i64,
-    /// Event with its fields.
-    text: String,
+    /// Event with its key=value pairs.
+    event: String,
 }
 
-/// Reads logs and returns the lines of `request`, with those about its servers meanwhile, by time.
+/// Returns the log lines of `request`, and those about its servers around that time that name no
+/// request, in order of time.
 ///
 /// # Errors
 ///
-/// Input that cannot be read.
+/// The error of reading `input`.
 pub fn trace_request(input: impl BufRead, request: &str) -> std::io::Result<String> {
     let mut lines = Vec::new();
     for line in input.split(b'\n') {
-        lines.extend(parse(&String::from_utf8_lossy(&line?)));
+        lines.extend(parse_line(&String::from_utf8_lossy(&line?)));
     }
-    let own: Vec<&LogLine> =
-        lines.iter().filter(|line| field(&line.text, REQUEST_FIELD) == Some(request)).collect();
-    let times = own.iter().map(|line| line.unix_ms);
+    let request_lines: Vec<&LogLine> =
+        lines.iter().filter(|line| value(&line.event, REQUEST_KEY) == Some(request)).collect();
+    let times = request_lines.iter().map(|line| line.unix_ms);
     let (Some(first_ms), Some(last_ms)) = (times.clone().min(), times.max()) else {
         return Ok(format!("no line names request {request}\n"));
     };
     let servers: Vec<&str> =
-        own.iter().filter_map(|line| field(&line.text, SERVER_FIELD)).collect();
-    let belongs = |line: &&LogLine| match field(&line.text, REQUEST_FIELD) {
-        Some(other) => other == request,
+        request_lines.iter().filter_map(|line| value(&line.event, SERVER_KEY)).collect();
+    let is_in_trace = |line: &&LogLine| match value(&line.event, REQUEST_KEY) {
+        Some(line_request) => line_request == request,
         None => {
-            let is_near = (first_ms - MARGIN_MS..=last_ms + MARGIN_MS).contains(&line.unix_ms);
+            let is_near = (first_ms - SERVER_EVENT_MARGIN_MS..=last_ms + SERVER_EVENT_MARGIN_MS)
+                .contains(&line.unix_ms);
             is_near
-                && field(&line.text, SERVER_FIELD).is_some_and(|server| servers.contains(&server))
+                && value(&line.event, SERVER_KEY).is_some_and(|server| servers.contains(&server))
         }
     };
-    let mut story: Vec<&LogLine> = lines.iter().filter(belongs).collect();
-    story.sort_by_key(|line| line.unix_ms);
+    let mut trace: Vec<&LogLine> = lines.iter().filter(is_in_trace).collect();
+    trace.sort_by_key(|line| line.unix_ms);
     let mut text = String::new();
-    for LogLine { source, unix_ms, text: event } in story {
+    for LogLine { source, unix_ms, event } in trace {
         writeln!(text, "{:>+8} ms  {source:<28} {event}", unix_ms - first_ms)
-            .expect("a String takes every write");
+            .expect("writing to a String succeeds");
     }
     Ok(text)
 }
 
-/// Returns the line, none if it is not one of the node's.
-fn parse(line: &str) -> Option<LogLine> {
+/// Parses a log line; returns none if it does not have the format of a node's log.
+fn parse_line(line: &str) -> Option<LogLine> {
     let (source, rest) = line.split_once("ts=")?;
     let (timestamp, rest) = rest.split_once(' ')?;
     let unix_ms = timestamp.parse::<jiff::Timestamp>().ok()?.as_millisecond();
-    let event = rest.find("event=")?;
-    Some(LogLine { source: source.trim().to_owned(), unix_ms, text: rest[event..].to_owned() })
+    let event_start = rest.find("event=")?;
+    Some(LogLine {
+        source: source.trim().to_owned(),
+        unix_ms,
+        event: rest[event_start..].to_owned(),
+    })
 }
 
-/// Returns the value of a field.
-fn field<'a>(text: &'a str, name: &str) -> Option<&'a str> {
-    text.split(' ').find_map(|pair| pair.strip_prefix(name)?.strip_prefix('='))
+/// Returns the value of a key=value pair, none if `event` has no such key.
+fn value<'a>(event: &'a str, key: &str) -> Option<&'a str> {
+    event.split(' ').find_map(|pair| pair.strip_prefix(key)?.strip_prefix('='))
 }
--- a/tests/configuration/cli.rs
+++ b/tests/configuration/cli.rs
@@ -1,4 +1,5 @@
-//! Differences that the command line computes between a document file and the accepted document.
+//! Changes and differences that the command line computes between a document file and the accepted
+//! document.
 
 use coriandertide::admin::messages::DocumentReply;
 use coriandertide::cli::diff::{DocumentFile, differences, format_difference};
@@ -16,7 +17,7 @@
 }
 
 #[test]
-fn changes_carry_the_revisions_they_replace() {
+fn changes_have_the_revisions_of_the_sections_as_bases() {
     let file = DocumentFile::parse(
         r#"{ "base_revision": 5, "site": { "budget_watts": 6 }, "models": { "old": {} } }"#,
     )
@@ -29,18 +30,18 @@
     ~ site.budget_watts: 5 -> 6
     - workspaces/survey: {"tokens_per_s":7}
     "#);
-    let bases: Vec<u64> = changes.iter().map(|change| change.base_revision).collect();
-    assert_eq!(bases, [4, 1, 9]);
+    let base_revisions: Vec<u64> = changes.iter().map(|change| change.base_revision).collect();
+    assert_eq!(base_revisions, [4, 1, 9]);
     let outdated = file.outdated(&changes);
     assert_eq!(
-        outdated.iter().map(|c| c.section.as_str()).collect::<Vec<_>>(),
+        outdated.iter().map(|change| change.section.as_str()).collect::<Vec<_>>(),
         ["workspaces/survey"]
     );
     assert_eq!(file.changes(&accepted(), false).len(), 2);
 }
 
 #[test]
-fn malformed_file_is_refused() {
+fn malformed_document_files_are_rejected() {
     assert_eq!(DocumentFile::parse("[]").unwrap_err(), "the document must be an object");
     assert!(DocumentFile::parse(r#"{"base_revision":"x"}"#).is_err());
     assert!(DocumentFile::parse("{").is_err());
--- a/tests/relay/trace.rs
+++ b/tests/relay/trace.rs
@@ -1,4 +1,4 @@
-//! Trace of a request from the logs of several nodes.
+//! Trace of a request, extracted from the logs of several nodes.
 
 use coriandertide::cli::trace::trace_request;
 
@@ -13,7 +13,7 @@
 ";
 
 #[test]
-fn a_trace_contains_the_request_and_its_servers() {
+fn trace_contains_lines_of_the_request_and_of_its_servers() {
     insta::assert_snapshot!(trace_request(LOGS.as_bytes(), "aa").unwrap(), @r"
       +0 ms  2.0 n1                       event=routed request=aa route=r server=s1 cost_ms=40
     +700 ms  2.1 n1                       event=attempt_failed request=aa route=r step=read_head
@@ -23,6 +23,6 @@
 }
 
 #[test]
-fn unknown_requests_are_reported() {
+fn unknown_request_is_reported() {
     assert_eq!(trace_request(LOGS.as_bytes(), "cc").unwrap(), "no line names request cc\n");
 }
