--- a/src/admin/edit.rs
+++ b/src/admin/edit.rs
@@ -48,14 +48,14 @@
     Appended(LogOffset),
 }
 
-/// Appends an edit to the log and waits until this node has folded it.
+/// Validates an edit, appends it to the log and waits until this node has folded it.
 ///
 /// The append is retried under the same edit id until the log confirms it; the fold ignores
 /// repeated records of an edit.
 ///
 /// # Errors
 ///
-/// The reason why the edit was rejected, or [`ErrorCode::OutcomeUnknown`].
+/// The reason why the edit was not accepted, or [`ErrorCode::OutcomeUnknown`].
 pub async fn submit(
     context: &AdminContext,
     caller: &AdminCaller,
