--- a/src/adapters/connection_pool.rs
+++ b/src/adapters/connection_pool.rs
@@ -3,7 +3,7 @@
 //! A connection is used again only after a whole answer that the caller accepted; whatever else
 //! happens on it closes it.
 
-use super::deadline::within;
+use super::deadline::timeout_at;
 use crate::types::{Delivery, PeerError, PeerResult, ServerId, Step};
 use anyhow::anyhow;
 use bytes::{Bytes, BytesMut};
@@ -93,7 +93,7 @@
     ) -> PeerResult<PooledExchange> {
         let key = (server.clone(), address);
         let mut connection = self.connection(&key, deadline).await?;
-        let sent = within(deadline, connection.sender.send_request(request)).await;
+        let sent = timeout_at(deadline, connection.sender.send_request(request)).await;
         let answer = sent.map_err(|error| head_error(&key, Delivery::Unknown, error.into()))?;
         let answer = answer.map_err(|error| {
             let delivery = if error.is_canceled() { Delivery::NotSent } else { Delivery::Unknown };
@@ -112,12 +112,12 @@
     }
 
     /// Closes the idle connections to a server.
-    pub fn close_server(&self, server: &ServerId) {
+    pub fn close_idle_connections(&self, server: &ServerId) {
         self.lock().retain(|(kept, _), _| kept != server);
     }
 
     /// Keeps the connection of an exchange whose answer was read to its end.
-    pub fn keep(&self, exchange: PooledExchange, usable_until: Instant) {
+    pub fn release(&self, exchange: PooledExchange, usable_until: Instant) {
         let PooledExchange { connection, key, .. } = exchange;
         self.lock().entry(key).or_default().push(IdleConnection { connection, usable_until });
     }
@@ -128,7 +128,7 @@
         deadline: Instant,
     ) -> PeerResult<Connection> {
         while let Some(mut connection) = self.take_idle(key) {
-            let ready = within(Instant::now() + READY_TIMEOUT, connection.sender.ready()).await;
+            let ready = timeout_at(Instant::now() + READY_TIMEOUT, connection.sender.ready()).await;
             if matches!(ready, Ok(Ok(()))) {
                 return Ok(connection);
             }
@@ -158,7 +158,7 @@
         };
         let executor = self.executor.upgrade().ok_or_else(|| failed(anyhow!("stopping")))?;
         let deadline = deadline.min(Instant::now() + CONNECT_TIMEOUT);
-        let stream = within(deadline, TcpStream::connect(key.1))
+        let stream = timeout_at(deadline, TcpStream::connect(key.1))
             .await
             .map_err(|error| failed(error.into()))?
             .map_err(|error| failed(error.into()))?;
@@ -204,7 +204,7 @@
     /// The answer broke off, or the deadline passed.
     pub async fn next_data(&mut self, deadline: Instant) -> PeerResult<Option<Bytes>> {
         loop {
-            let frame = match within(deadline, self.body.frame()).await {
+            let frame = match timeout_at(deadline, self.body.frame()).await {
                 Ok(Some(Ok(frame))) => frame,
                 Ok(None) => return Ok(None),
                 Ok(Some(Err(error))) => return Err(self.body_error(error.into())),
--- a/src/adapters/deadline.rs
+++ b/src/adapters/deadline.rs
@@ -7,7 +7,7 @@
 use std::time::Instant;
 
 /// Returns the output of `future`, or an error once `deadline` has passed.
-pub async fn within<T>(
+pub async fn timeout_at<T>(
     deadline: Instant,
     future: impl Future<Output = T>,
 ) -> Result<T, DeadlinePassed> {
--- a/src/adapters/http_client.rs
+++ b/src/adapters/http_client.rs
@@ -3,7 +3,7 @@
 //! The connection is driven by whoever reads the response and closes when the [`Exchange`] is
 //! dropped, which tells the peer that nobody waits any more.
 
-use super::deadline::within;
+use super::deadline::timeout_at;
 use crate::types::{Delivery, PeerError, PeerResult, Step};
 use bytes::{Bytes, BytesMut};
 use futures_lite::future::poll_fn;
@@ -56,7 +56,7 @@
     let failed = |error: anyhow::Error| {
         PeerError::new(Step::ReadHead, peer.clone(), Delivery::Unknown, error)
     };
-    let head = within(deadline, head).await.map_err(|error| failed(error.into()))?;
+    let head = timeout_at(deadline, head).await.map_err(|error| failed(error.into()))?;
     let (parts, body) = head.map_err(|error| failed(error.into()))?.into_parts();
     Ok(Exchange { status: parts.status, headers: parts.headers, peer, body, driver })
 }
@@ -66,7 +66,7 @@
         PeerError::new(Step::Connect, peer.clone(), Delivery::NotSent, error)
     };
     let deadline = deadline.min(Instant::now() + CONNECT_TIMEOUT);
-    let stream = within(deadline, TcpStream::connect(address))
+    let stream = timeout_at(deadline, TcpStream::connect(address))
         .await
         .map_err(|error| failed(error.into()))?
         .map_err(|error| failed(error.into()))?;
@@ -85,7 +85,7 @@
     /// Returns the next data of the body, or none at its end.
     pub async fn next_data(&mut self, deadline: Instant) -> PeerResult<Option<Bytes>> {
         let next = poll_fn(|cx| self.poll_data(cx));
-        match within(deadline, next).await {
+        match timeout_at(deadline, next).await {
             Ok(result) => result,
             Err(error) => Err(self.error(Step::ReadBody, error.into())),
         }
--- a/src/adapters/http_server.rs
+++ b/src/adapters/http_server.rs
@@ -23,18 +23,18 @@
 
 /// A response broke off; the connection closes so that it cannot look complete.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct BrokenBody;
+pub struct BodyAborted;
 
-impl fmt::Display for BrokenBody {
+impl fmt::Display for BodyAborted {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str("the response broke off")
     }
 }
 
-impl std::error::Error for BrokenBody {}
+impl std::error::Error for BodyAborted {}
 
 /// Body of a response.
-pub type ReplyBody = UnsyncBoxBody<Bytes, BrokenBody>;
+pub type ReplyBody = UnsyncBoxBody<Bytes, BodyAborted>;
 
 /// Response to a caller.
 pub type Reply = Response<ReplyBody>;
@@ -47,7 +47,7 @@
 
 /// Limits of a listener.
 #[derive(Clone, Copy, Debug)]
-pub struct ServerLimits {
+pub struct ListenerLimits {
     /// Bytes of a request's head.
     pub head_bytes: usize,
     /// Milliseconds that a caller may take to send a head.
@@ -79,7 +79,7 @@
     listener: TcpListener,
     executor: Weak<Executor<'static>>,
     handler: Handler,
-    limits: Arc<ArcSwap<ServerLimits>>,
+    limits: Arc<ArcSwap<ListenerLimits>>,
     drain: Receiver<Infallible>,
 ) {
     loop {
@@ -107,7 +107,7 @@
 async fn serve_connection(
     stream: TcpStream,
     handler: Handler,
-    limits: ServerLimits,
+    limits: ListenerLimits,
     drain: Receiver<Infallible>,
 ) {
     if stream.set_nodelay(true).is_err() {
--- a/src/adapters/kv_store.rs
+++ b/src/adapters/kv_store.rs
@@ -39,7 +39,7 @@
 
 #[async_trait]
 impl KvStore for HttpKvStore {
-    async fn kept_tokens(&self, prefix_keys: &[u64]) -> PeerResult<Vec<u32>> {
+    async fn stored_tokens(&self, prefix_keys: &[u64]) -> PeerResult<Vec<u32>> {
         let body = serde_json::to_vec(&KeptQuery { prefix_keys }).expect("numbers encode");
         let request = Request::post("/kept")
             .header("host", self.address.to_string())
--- a/src/control/polls.rs
+++ b/src/control/polls.rs
@@ -51,7 +51,7 @@
 /// Asks the KV store once what it keeps under `keys`.
 pub async fn poll_kept_prefixes(context: ControlContext, keys: Vec<u64>) {
     let Some(kv_store) = &context.kv_store else { return };
-    match kv_store.kept_tokens(&keys).await {
+    match kv_store.stored_tokens(&keys).await {
         Ok(tokens) => {
             let kept = keys.into_iter().zip(tokens);
             let kept = kept.map(|(key, tokens)| StoredPrefix { key, tokens }).collect();
--- a/src/control/power.rs
+++ b/src/control/power.rs
@@ -3,7 +3,7 @@
 
 use super::leases::append_record;
 use super::{ControlContext, ControlEvent, ControlState};
-use crate::adapters::deadline::within;
+use crate::adapters::deadline::timeout_at;
 use crate::decision::power::{
     PowerCommand, PowerEvent, PowerMessage, PowerSettings, PowerState, PowerStats,
 };
@@ -173,7 +173,7 @@
 async fn probe(context: ControlContext, instance: InstanceId, address: SmolStr) {
     let Ok(address) = address.parse::<SocketAddr>() else { return };
     let deadline = Instant::now() + PROBE_TIMEOUT;
-    let Ok(Err(error)) = within(deadline, TcpStream::connect(address)).await else { return };
+    let Ok(Err(error)) = timeout_at(deadline, TcpStream::connect(address)).await else { return };
     if error.kind() == ErrorKind::ConnectionRefused {
         context.send(ControlEvent::InstanceEnded(instance)).await;
     }
--- a/src/daemon/node.rs
+++ b/src/daemon/node.rs
@@ -1,7 +1,7 @@
 //! A node: listeners, the control thread and the traffic threads.
 
 use super::threads::{self, spawn_control, spawn_traffic};
-use crate::adapters::http_server::{self, Handler, ServerLimits};
+use crate::adapters::http_server::{self, Handler, ListenerLimits};
 use crate::adapters::{
     HttpInstanceList, HttpKvStore, HttpLogService, HttpModelEngine, HttpPlainService,
 };
@@ -285,8 +285,8 @@
     executor.spawn(server).detach();
 }
 
-fn server_limits(settings: &Settings) -> Arc<ArcSwap<ServerLimits>> {
-    Arc::new(ArcSwap::from_pointee(ServerLimits {
+fn server_limits(settings: &Settings) -> Arc<ArcSwap<ListenerLimits>> {
+    Arc::new(ArcSwap::from_pointee(ListenerLimits {
         head_bytes: settings.limits.head_bytes,
         head_timeout_ms: settings.limits.read_timeout_ms,
     }))
--- a/src/links/connection.rs
+++ b/src/links/connection.rs
@@ -3,7 +3,7 @@
 use super::MESSAGE_LIMIT_BYTES;
 use super::handshake::{Challenge, Identity, LINK_PROTOCOL, Proof, Side, fresh_nonce};
 use super::message::{DecodedMessage, PartnerMessage};
-use crate::adapters::deadline::within;
+use crate::adapters::deadline::timeout_at;
 use crate::decision::membership::MemberRecord;
 use crate::types::{Delivery, PeerError, PeerResult, Step};
 use anyhow::{Context, bail, ensure};
@@ -63,7 +63,7 @@
 /// Opens a link to the node at `address`.
 pub async fn dial(address: SocketAddr, identity: &Identity) -> PeerResult<Link> {
     let deadline = Instant::now() + OPEN_TIMEOUT;
-    let opened = within(deadline, open(address, identity)).await;
+    let opened = timeout_at(deadline, open(address, identity)).await;
     link_result(address.to_smolstr(), Step::Connect, opened.map_err(Into::into).flatten())
 }
 
@@ -72,7 +72,7 @@
 pub async fn accept(stream: TcpStream, identity: &Identity) -> PeerResult<Link> {
     let peer = stream.peer_addr().map_or_else(|_| SmolStr::default(), |peer| peer.to_smolstr());
     let deadline = Instant::now() + OPEN_TIMEOUT;
-    let opened = within(deadline, admit(stream, identity)).await;
+    let opened = timeout_at(deadline, admit(stream, identity)).await;
     link_result(peer, Step::ReadHead, opened.map_err(Into::into).flatten())
 }
 
@@ -153,7 +153,7 @@
                 }
             }
             let deadline = Instant::now() + CLOSE_TIMEOUT;
-            let _closed = within(deadline, sink.close()).await;
+            let _closed = timeout_at(deadline, sink.close()).await;
             LinkEnd::InOrder
         };
         let read = async {
--- a/src/ports/coordination_store.rs
+++ b/src/ports/coordination_store.rs
@@ -35,11 +35,11 @@
 
 /// Outcome of a conditional replacement.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Replacement {
+pub enum ReplaceOutcome {
     /// The record was replaced.
-    Done(FencingNumber),
+    Replaced(FencingNumber),
     /// Another record has come since.
-    Outdated,
+    Conflict,
 }
 
 /// Store of records. A call whose answer is lost may have taken effect, or may still do so.
@@ -49,7 +49,7 @@
     async fn list(&self, topic: RecordTopic) -> PeerResult<TopicListing>;
 
     /// Returns records from an offset on, as soon as there are some or at `wait_until`.
-    async fn follow(
+    async fn poll(
         &self,
         topic: RecordTopic,
         from: LogOffset,
@@ -60,7 +60,7 @@
     async fn announce(&self, node: &AnnouncedNode) -> PeerResult<()>;
 
     /// Returns the nodes that announced themselves, dead ones among them.
-    async fn announced(&self) -> PeerResult<Vec<AnnouncedNode>>;
+    async fn announced_nodes(&self) -> PeerResult<Vec<AnnouncedNode>>;
 
     /// Returns the newest record of the lease register.
     async fn read_register(&self) -> PeerResult<RegisterRecord>;
@@ -70,5 +70,5 @@
         &self,
         number: FencingNumber,
         holder: &InstanceId,
-    ) -> PeerResult<Replacement>;
+    ) -> PeerResult<ReplaceOutcome>;
 }
--- a/src/ports/dialect.rs
+++ b/src/ports/dialect.rs
@@ -10,20 +10,20 @@
 
 /// What the head of a caller's request says.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct RequestFacts {
+pub struct RequestHead {
     /// Id that the caller chose.
     pub id: Option<RequestId>,
     /// Milliseconds that the caller waits.
-    pub patience_ms: Option<u64>,
+    pub timeout_ms: Option<u64>,
     /// Key of a workspace.
-    pub key: Option<SmolStr>,
+    pub api_key: Option<SmolStr>,
     /// Prompt, for requests to a model.
     pub prompt: Option<Prompt>,
 }
 
 /// What the relay tells a server with a request.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct SendFacts {
+pub struct ForwardHead {
     /// Server that must be the one that answers.
     pub server: ServerId,
     /// Milliseconds that the caller still waits.
@@ -31,7 +31,7 @@
     /// Workspace of the caller.
     pub workspace: Option<WorkspaceId>,
     /// Whether the caller's key must not reach the server.
-    pub hides_key: bool,
+    pub strips_api_key: bool,
     /// Priority, 0 is the highest.
     pub priority: Option<u8>,
     /// Weights that the server must hold.
@@ -48,7 +48,7 @@
 
 /// What the head of a server's answer says.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
-pub struct AnswerFacts {
+pub struct AnswerHead {
     /// Request that it answers.
     pub request_id: Option<RequestId>,
     /// Whether it bears a server's signature.
@@ -58,13 +58,13 @@
     /// Server that says it answers.
     pub server: Option<ServerId>,
     /// Whether the body is not the server's own bytes.
-    pub is_encoded: bool,
+    pub has_content_encoding: bool,
     /// Weights that the server holds.
     pub weights: Option<WeightsRevision>,
     /// Seconds for which the connection may be reused, if the server says so.
     pub keep_alive_s: Option<u64>,
     /// Whether the server closes the connection.
-    pub closes: bool,
+    pub closes_connection: bool,
 }
 
 /// Record that an operator wrote.
@@ -86,16 +86,16 @@
 /// Translator between a site's wire forms and the product's types.
 pub trait Dialect: Send + Sync {
     /// Reads the head of a caller's request.
-    fn read_request(&self, headers: &HeaderMap) -> RequestFacts;
+    fn read_request(&self, headers: &HeaderMap) -> RequestHead;
 
     /// Turns a caller's headers into those for a server.
-    fn write_request(&self, headers: &mut HeaderMap, facts: &SendFacts);
+    fn write_request(&self, headers: &mut HeaderMap, head: &ForwardHead);
 
     /// Reads the head of a server's answer.
-    fn read_answer(&self, status: StatusCode, headers: &HeaderMap) -> AnswerFacts;
+    fn read_answer(&self, status: StatusCode, headers: &HeaderMap) -> AnswerHead;
 
     /// Writes the id of the answered request into the head of an answer of the relay's own.
-    fn write_answer(&self, headers: &mut HeaderMap, request: &RequestId);
+    fn write_request_id(&self, headers: &mut HeaderMap, request: &RequestId);
 
     /// Reads a record that an operator wrote.
     ///
--- a/src/ports/engine_control.rs
+++ b/src/ports/engine_control.rs
@@ -29,18 +29,18 @@
 
 /// What a look at the store of kept KV cache shows.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct KvStoreLook {
+pub struct KvStoreState {
     /// Run of the store, none if it is busy; another run means that it lost what it kept.
-    pub run: Option<u64>,
+    pub incarnation: Option<u64>,
     /// Change after which the next look waits.
-    pub next: u64,
+    pub next_event: u64,
 }
 
 /// Engines as the relay controls them.
 #[async_trait]
 pub trait EngineControl: Send + Sync {
     /// Returns a server's report about its weights.
-    async fn report(
+    async fn weights_report(
         &self,
         server: &ServerId,
         address: SocketAddr,
@@ -57,10 +57,10 @@
 
     /// Looks at the store of kept KV cache; returns once it has changed beyond `since`, or after a
     /// while.
-    async fn look_at_kv_store(
+    async fn poll_kv_store(
         &self,
         address: SocketAddr,
         since: u64,
         deadline: Instant,
-    ) -> PeerResult<KvStoreLook>;
+    ) -> PeerResult<KvStoreState>;
 }
--- a/src/ports/kv_store.rs
+++ b/src/ports/kv_store.rs
@@ -7,5 +7,5 @@
 #[async_trait]
 pub trait KvStore: Send + Sync {
     /// Returns, for each prefix key, the number of tokens the store keeps under it, 0 if none.
-    async fn kept_tokens(&self, prefix_keys: &[u64]) -> PeerResult<Vec<u32>>;
+    async fn stored_tokens(&self, prefix_keys: &[u64]) -> PeerResult<Vec<u32>>;
 }
--- a/src/ports/mod.rs
+++ b/src/ports/mod.rs
@@ -9,9 +9,9 @@
 pub mod model_engine;
 pub mod plain_service;
 
-pub use coordination_store::{AnnouncedNode, CoordinationStore, RecordPage, Replacement};
-pub use dialect::{AnswerFacts, Dialect, OperatorRecord, RequestFacts, SendFacts};
-pub use engine_control::{EngineControl, KvStoreLook, WeightsOrder};
+pub use coordination_store::{AnnouncedNode, CoordinationStore, RecordPage, ReplaceOutcome};
+pub use dialect::{AnswerHead, Dialect, ForwardHead, OperatorRecord, RequestHead};
+pub use engine_control::{EngineControl, KvStoreState, WeightsOrder};
 pub use instance_list::{InstanceKind, InstanceList, InstanceRecord, InstanceState};
 pub use kv_store::KvStore;
 pub use log_service::{LogPage, LogRecord, LogService, LogStream};
--- a/src/relay/answer.rs
+++ b/src/relay/answer.rs
@@ -6,7 +6,7 @@
 use super::stream;
 use crate::adapters::connection_pool::PooledExchange;
 use crate::adapters::http_server::Reply;
-use crate::ports::AnswerFacts;
+use crate::ports::AnswerHead;
 use crate::traffic::reply::full_body;
 use crate::types::PeerResult;
 use http::Response;
@@ -58,13 +58,13 @@
 }
 
 /// Keeps the connection of a complete answer for later requests.
-pub fn keep(context: &RelayContext, exchange: PooledExchange, facts: &AnswerFacts) {
-    if facts.closes {
+pub fn keep(context: &RelayContext, exchange: PooledExchange, facts: &AnswerHead) {
+    if facts.closes_connection {
         return;
     }
     let idle = match facts.keep_alive_s {
         Some(seconds) => Duration::from_secs(seconds).saturating_sub(IDLE_MARGIN),
         None => DEFAULT_IDLE,
     };
-    context.pool.keep(exchange, Instant::now() + idle);
+    context.pool.release(exchange, Instant::now() + idle);
 }
--- a/src/relay/attempt.rs
+++ b/src/relay/attempt.rs
@@ -7,7 +7,7 @@
 use crate::decision::relay::server::{ServerLoad, UnreadTokens};
 use crate::decision::relay::{Choice, Prompt};
 use crate::metrics::labels::ReasonLabels;
-use crate::ports::{AnswerFacts, SendFacts};
+use crate::ports::{AnswerHead, ForwardHead};
 use crate::types::{Delivery, PeerError, ServerId, Step};
 use anyhow::anyhow;
 use futures_lite::FutureExt;
@@ -58,7 +58,7 @@
     /// Exchange with the server.
     pub exchange: PooledExchange,
     /// What the head says.
-    pub facts: AnswerFacts,
+    pub facts: AnswerHead,
     /// Place that the request takes at the server.
     pub ticket: Ticket,
 }
@@ -188,11 +188,11 @@
     let remaining = request.deadline.saturating_duration_since(now);
     let workspace = request.workspace.as_ref();
     let prompt = choice.prompt.as_ref();
-    let facts = SendFacts {
+    let facts = ForwardHead {
         server: choice.server.clone(),
         remaining_ms: u64::try_from(remaining.as_millis()).unwrap_or(u64::MAX).max(1),
         workspace: workspace.map(|workspace| workspace.name.clone()),
-        hides_key: request.hides_key,
+        strips_api_key: request.hides_key,
         priority: prompt.map(|_| request.priority()),
         weights: prompt.map(|prompt| prompt.weights),
         cache_salt: prompt.map(|prompt| prompt.cache_salt.clone()),
@@ -247,14 +247,14 @@
         return AttemptEnd::NotSent(error);
     }
     ticket.note_outcome(false, 0.0);
-    if error.is_cut() {
+    if error.is_disconnect() {
         note_cut(context, request, choice);
     }
     AttemptEnd::Unknown(error)
 }
 
 fn suspend(context: &RelayContext, choice: &Choice) {
-    context.pool.close_server(&choice.server);
+    context.pool.close_idle_connections(&choice.server);
     let now = Instant::now();
     let Some(until) = context
         .fleet()
@@ -282,7 +282,7 @@
     context: &RelayContext,
     request: &RelayedRequest,
     choice: &Choice,
-    facts: &AnswerFacts,
+    facts: &AnswerHead,
 ) {
     let Some(model) = request.facts.prompt.as_ref().map(|prompt| &prompt.model) else { return };
     let Some(revision) = facts.weights.filter(|_| !is_misdirected(choice, facts)) else { return };
@@ -298,7 +298,7 @@
 }
 
 /// Whether another server answers at the address.
-fn is_misdirected(choice: &Choice, facts: &AnswerFacts) -> bool {
+fn is_misdirected(choice: &Choice, facts: &AnswerHead) -> bool {
     facts.server.as_ref().is_some_and(|server| *server != choice.server)
 }
 
@@ -307,7 +307,7 @@
     request: &RelayedRequest,
     choice: &Choice,
     status: StatusCode,
-    facts: &AnswerFacts,
+    facts: &AnswerHead,
 ) -> NotRunReason {
     let now = Instant::now();
     if is_misdirected(choice, facts) {
@@ -336,14 +336,14 @@
     request: &RelayedRequest,
     choice: &Choice,
     status: StatusCode,
-    facts: &AnswerFacts,
+    facts: &AnswerHead,
 ) -> Option<PeerError> {
     let promises_no_run = matches!(status.as_u16(), 408 | 421 | 429 | 503);
     let fault = if facts.request_id.as_ref() != Some(&request.id) {
         "the answer belongs to another request"
     } else if status.is_success() && !facts.is_signed {
         "the answer bears no signature"
-    } else if facts.is_encoded {
+    } else if facts.has_content_encoding {
         "the answer is encoded"
     } else if promises_no_run || status.is_informational() {
         "the status does not fit a request that was run"
--- a/src/relay/context.rs
+++ b/src/relay/context.rs
@@ -4,7 +4,7 @@
 use super::metrics::RelayMetrics;
 use super::settings::RelaySettings;
 use crate::adapters::connection_pool::ConnectionPool;
-use crate::adapters::http_server::ServerLimits;
+use crate::adapters::http_server::ListenerLimits;
 use crate::decision::poison::PoisonState;
 use crate::decision::relay::{Configuration, Fleet, ResendBudget};
 use crate::ports::{CoordinationStore, Dialect, EngineControl};
@@ -33,7 +33,7 @@
     /// Configuration in force, none before the first.
     pub configuration: ArcSwapOption<Configuration>,
     /// Limits of the callers' listener.
-    pub caller_limits: Arc<ArcSwap<ServerLimits>>,
+    pub caller_limits: Arc<ArcSwap<ListenerLimits>>,
     /// Connections to servers.
     pub pool: Arc<ConnectionPool>,
     /// Metrics.
--- a/src/relay/control/crashes.rs
+++ b/src/relay/control/crashes.rs
@@ -61,7 +61,8 @@
 async fn confirm(context: Arc<RelayContext>, strike: Strike, address: SocketAddr) {
     for _ in 0..CHECKS {
         let deadline = Instant::now() + CHECK_TIMEOUT;
-        let opened = crate::adapters::deadline::within(deadline, TcpStream::connect(address)).await;
+        let opened =
+            crate::adapters::deadline::timeout_at(deadline, TcpStream::connect(address)).await;
         match opened {
             Ok(Err(error)) if error.kind() == ErrorKind::ConnectionRefused => {
                 context.tell_control(RelayEvent::Crashed(strike));
--- a/src/relay/control/follow.rs
+++ b/src/relay/control/follow.rs
@@ -121,7 +121,7 @@
 ) -> PeerResult<Option<LogOffset>> {
     count_call(context, "read");
     let asked_at = Instant::now();
-    match context.ports.store.follow(topic, offset, wait_until).await? {
+    match context.ports.store.poll(topic, offset, wait_until).await? {
         RecordPage::Expired => {
             log::info!("event=records_expired topic={topic} offset={offset}");
             Ok(None)
@@ -151,7 +151,7 @@
     loop {
         if context.metrics.links.get() == 0 {
             count_call(&context, "announced");
-            match context.ports.store.announced().await {
+            match context.ports.store.announced_nodes().await {
                 Ok(nodes) => {
                     retry.succeeded();
                     send(&context, RelayEvent::Announced(nodes)).await;
--- a/src/relay/control/kv_store.rs
+++ b/src/relay/control/kv_store.rs
@@ -30,10 +30,10 @@
         };
         let asked_at = Instant::now();
         let deadline = asked_at + LOOK_TIMEOUT;
-        match context.ports.engines.look_at_kv_store(address, since, deadline).await {
+        match context.ports.engines.poll_kv_store(address, since, deadline).await {
             Ok(look) => {
-                since = look.next;
-                let run = look.run.map(|run| (address, run));
+                since = look.next_event;
+                let run = look.incarnation.map(|run| (address, run));
                 let is_emptied = known.is_some() && run.is_some() && known != run;
                 if is_emptied || !is_answering {
                     is_answering = true;
--- a/src/relay/control/mod.rs
+++ b/src/relay/control/mod.rs
@@ -20,7 +20,7 @@
 use crate::decision::relay::{KeyedRecord, RecordTopic};
 use crate::links::LinkEnd;
 use crate::links::connection::ReceivedMessage;
-use crate::ports::{AnnouncedNode, Replacement};
+use crate::ports::{AnnouncedNode, ReplaceOutcome};
 use crate::types::{Incarnation, LogOffset, ModelId, PeerResult, ServerId};
 use async_channel::Sender;
 use bytes::Bytes;
@@ -121,7 +121,7 @@
         /// When the call was sent.
         sent_at: Instant,
         /// Outcome.
-        outcome: PeerResult<Replacement>,
+        outcome: PeerResult<ReplaceOutcome>,
     },
     /// The store of kept KV cache answered, or not.
     KvStore {
--- a/src/relay/control/records.rs
+++ b/src/relay/control/records.rs
@@ -1,7 +1,7 @@
 //! Records of operators and servers: from the store and from partners into what traffic uses.
 
 use super::state::ControlState;
-use crate::adapters::http_server::ServerLimits;
+use crate::adapters::http_server::ListenerLimits;
 use crate::decision::relay::configuration::CallerLimits;
 use crate::decision::relay::replica::TopicListing;
 use crate::decision::relay::{Configuration, KeyedRecord, RecordTopic};
@@ -212,8 +212,8 @@
     }
 }
 
-fn server_limits(limits: CallerLimits) -> ServerLimits {
-    ServerLimits {
+fn server_limits(limits: CallerLimits) -> ListenerLimits {
+    ListenerLimits {
         head_bytes: limits.head_bytes,
         head_timeout_ms: limits.idle_timeout_ms.max(limits.head_timeout_ms) + IDLE_MARGIN_MS,
     }
--- a/src/relay/control/rollout/lease.rs
+++ b/src/relay/control/rollout/lease.rs
@@ -1,7 +1,7 @@
 //! The lease under which one node coordinates rollouts: whose turn it is, and the calls to the register.
 
 use crate::decision::relay::register_lease::RegisterRecord;
-use crate::ports::Replacement;
+use crate::ports::ReplaceOutcome;
 use crate::relay::control::RelayEvent;
 use crate::relay::control::state::ControlState;
 use crate::types::{InstanceId, PeerResult};
@@ -103,18 +103,18 @@
     pub(in crate::relay::control) fn apply_replaced(
         &mut self,
         sent_at: Instant,
-        outcome: PeerResult<Replacement>,
+        outcome: PeerResult<ReplaceOutcome>,
         now: Instant,
     ) {
         self.rollout.register_busy_until = None;
         match outcome {
-            Ok(Replacement::Done(number)) => {
+            Ok(ReplaceOutcome::Replaced(number)) => {
                 log::info!("event=lease_taken fencing_number={number}");
                 self.rollout.lease.acquire(number, sent_at);
                 self.rollout.last_coordinator = Some(self.rollout.instance.clone());
                 self.tick_rollouts(now);
             }
-            Ok(Replacement::Outdated) => {
+            Ok(ReplaceOutcome::Conflict) => {
                 log::info!("event=lease_not_taken reason=outdated");
                 self.read_register(now);
             }
--- a/src/relay/control/rollout/orders.rs
+++ b/src/relay/control/rollout/orders.rs
@@ -123,7 +123,7 @@
         };
         self.spawn(async move {
             let deadline = Instant::now() + CALL_TIMEOUT;
-            let report = context.ports.engines.report(&server, address, deadline).await;
+            let report = context.ports.engines.weights_report(&server, address, deadline).await;
             context.tell_control(RelayEvent::Reported { model, server, report });
         });
     }
--- a/src/relay/control/state.rs
+++ b/src/relay/control/state.rs
@@ -169,7 +169,7 @@
         let gone = self.context.fleet().remove_expired(now);
         for server in gone {
             log::info!("event=server_gone server={server} reason=entry_not_back");
-            self.context.pool.close_server(&server);
+            self.context.pool.close_idle_connections(&server);
         }
         self.context.pool.close_expired(now);
         self.tick_partners(now);
--- a/src/relay/node.rs
+++ b/src/relay/node.rs
@@ -5,7 +5,7 @@
 use super::metrics::RelayMetrics;
 use super::{RelayContext, RelayPorts, RelaySettings};
 use crate::adapters::connection_pool::ConnectionPool;
-use crate::adapters::http_server::{self, Handler, Reply, ServerLimits};
+use crate::adapters::http_server::{self, Handler, ListenerLimits, Reply};
 use crate::daemon::threads::{self, spawn_control, spawn_traffic};
 use crate::decision::poison::PoisonState;
 use crate::decision::relay::{Fleet, ResendBudget};
@@ -31,10 +31,12 @@
 const CONTROL_QUEUE: usize = 1_024;
 
 /// Limits of the callers' listener until a configuration names some.
-const FIRST_LIMITS: ServerLimits = ServerLimits { head_bytes: 16 * 1024, head_timeout_ms: 16_000 };
+const FIRST_LIMITS: ListenerLimits =
+    ListenerLimits { head_bytes: 16 * 1024, head_timeout_ms: 16_000 };
 
 /// Limits of the listeners for operators' tools.
-const TOOL_LIMITS: ServerLimits = ServerLimits { head_bytes: 8 * 1024, head_timeout_ms: 60_000 };
+const TOOL_LIMITS: ListenerLimits =
+    ListenerLimits { head_bytes: 8 * 1024, head_timeout_ms: 60_000 };
 
 /// Period in which a stopping node looks whether its connections have ended.
 const STOP_CHECK_PERIOD: Duration = Duration::from_millis(50);
--- a/src/relay/refusal.rs
+++ b/src/relay/refusal.rs
@@ -111,7 +111,7 @@
         let mut reply = Response::new(full_body(Bytes::new()));
         *reply.status_mut() = self.reason.status();
         if let Some(request) = request {
-            context.ports.dialect.write_answer(reply.headers_mut(), request);
+            context.ports.dialect.write_request_id(reply.headers_mut(), request);
         }
         if let Some(retry_at) = self.retry_at {
             let wait = retry_at.saturating_duration_since(Instant::now()).max(LEAST_RETRY);
--- a/src/relay/request.rs
+++ b/src/relay/request.rs
@@ -2,11 +2,11 @@
 
 use super::RelayContext;
 use super::refusal::{Refusal, RefusalReason};
-use crate::adapters::deadline::within;
+use crate::adapters::deadline::timeout_at;
 use crate::decision::poison::{Fingerprint, Suspicion};
 use crate::decision::relay::configuration::{Caller, Workspace};
 use crate::decision::relay::{AdmissionRequest, Configuration, Route, ServerQuery};
-use crate::ports::RequestFacts;
+use crate::ports::RequestHead;
 use crate::types::{RequestId, ServerId, ServiceId};
 use bytes::{Bytes, BytesMut};
 use http::{HeaderMap, HeaderName, Method, Request, Uri, header};
@@ -46,7 +46,7 @@
     /// Whether the caller's key must not reach the server.
     pub hides_key: bool,
     /// What the head says.
-    pub facts: RequestFacts,
+    pub facts: RequestHead,
     /// Method.
     pub method: Method,
     /// Path and query.
@@ -103,7 +103,7 @@
 pub async fn admit(
     context: &RelayContext,
     request: Request<Incoming>,
-    facts: RequestFacts,
+    facts: RequestHead,
     arrived_at: Instant,
 ) -> Result<RelayedRequest, Refusal> {
     let configuration = context.configuration.load_full();
@@ -118,7 +118,7 @@
         .service(xxh3_64(id.as_bytes()))
         .cloned()
         .ok_or(Refusal::new(RefusalReason::NoRoute))?;
-    let patience_ms = facts.patience_ms.unwrap_or(route.timeout_ms).min(route.timeout_ms);
+    let patience_ms = facts.timeout_ms.unwrap_or(route.timeout_ms).min(route.timeout_ms);
     let deadline = arrived_at + Duration::from_millis(patience_ms);
     let limit_bytes = configuration.limits.map_or(DEFAULT_BODY_BYTES, |limits| limits.body_bytes);
     let (parts, body) = request.into_parts();
@@ -148,14 +148,14 @@
 fn find_route(
     configuration: &Configuration,
     request: &Request<Incoming>,
-    facts: &RequestFacts,
+    facts: &RequestHead,
 ) -> Result<RouteAndWorkspace, Refusal> {
     let host = request.headers().get(header::HOST).and_then(|host| host.to_str().ok());
     let host = host.or(request.uri().host()).unwrap_or_default();
     let route = configuration
         .route(host, request.uri().path())
         .ok_or(Refusal::new(RefusalReason::NoRoute))?;
-    match configuration.caller(route, facts.key.as_deref()) {
+    match configuration.caller(route, facts.api_key.as_deref()) {
         Caller::Anonymous => Ok((Arc::clone(route), None)),
         Caller::Workspace(workspace) => Ok((Arc::clone(route), Some(workspace))),
         Caller::Unknown => Err(Refusal::new(RefusalReason::UnknownKey)),
@@ -169,7 +169,7 @@
 ) -> Result<Bytes, Refusal> {
     let mut whole = BytesMut::new();
     loop {
-        let frame = match within(deadline, body.frame()).await {
+        let frame = match timeout_at(deadline, body.frame()).await {
             Err(_) => return Err(Refusal::new(RefusalReason::TimedOut)),
             Ok(None) => return Ok(whole.freeze()),
             Ok(Some(Err(error))) => {
--- a/src/relay/stream.rs
+++ b/src/relay/stream.rs
@@ -7,8 +7,8 @@
 use super::exchange::{Attempts, choose};
 use super::metrics::AnswerLabels;
 use super::request::{RelayedRequest, end_to_end_headers};
-use crate::adapters::deadline::within;
-use crate::adapters::http_server::{BrokenBody, Reply};
+use crate::adapters::deadline::timeout_at;
+use crate::adapters::http_server::{BodyAborted, Reply};
 use crate::decision::relay::{Choice, EventSplitter, RetrySafety};
 use crate::types::PeerError;
 use bytes::Bytes;
@@ -90,7 +90,7 @@
 
 impl RelayedStream {
     /// Returns what the caller gets next, none at the end of a complete stream.
-    async fn next(&mut self) -> Option<Result<Bytes, BrokenBody>> {
+    async fn next(&mut self) -> Option<Result<Bytes, BodyAborted>> {
         while !self.is_over {
             if self.is_evicted() {
                 self.move_on().await;
@@ -105,7 +105,7 @@
                     match self.whole_events(data) {
                         Ok(events) if events.is_empty() => {}
                         Ok(events) => return Some(Ok(self.count_data(events))),
-                        Err(BrokenBody) => return Some(Err(self.break_off("event_too_long"))),
+                        Err(BodyAborted) => return Some(Err(self.break_off("event_too_long"))),
                     }
                 }
                 Ok(None) => return self.complete().map(Ok),
@@ -132,10 +132,10 @@
         self.splitter.is_some() && self.attempts.sent < self.request.route.max_attempts
     }
 
-    fn whole_events(&mut self, data: Bytes) -> Result<Bytes, BrokenBody> {
+    fn whole_events(&mut self, data: Bytes) -> Result<Bytes, BodyAborted> {
         match &mut self.splitter {
             None => Ok(data),
-            Some(splitter) => splitter.push(&data).map_err(|_| BrokenBody),
+            Some(splitter) => splitter.push(&data).map_err(|_| BodyAborted),
         }
     }
 
@@ -160,12 +160,12 @@
         rest.filter(|rest| !rest.is_empty())
     }
 
-    fn break_off(&mut self, reason: &str) -> BrokenBody {
+    fn break_off(&mut self, reason: &str) -> BodyAborted {
         self.is_over = true;
         let server = self.answer.take().map(|answer| answer.ticket.server.clone());
         log::info!("event=stream_broken request={} reason={reason}", self.request.id);
         self.log("broken", server.as_deref().unwrap_or("none"));
-        BrokenBody
+        BodyAborted
     }
 
     /// Whether the stream is to leave its server, and can.
@@ -246,7 +246,7 @@
         let is_last = self.attempts.is_next_last(&self.request.route);
         self.attempts.tried.push(choice.server.clone());
         let sent = attempt::send(&self.context, &self.request, choice, last_event_id, is_last);
-        let Ok(end) = within(give_up_at, sent).await else {
+        let Ok(end) = timeout_at(give_up_at, sent).await else {
             self.attempts.sent += 1;
             return false;
         };
--- a/src/settings/mod.rs
+++ b/src/settings/mod.rs
@@ -80,7 +80,7 @@
     pub fn parse(text: &str) -> anyhow::Result<Self> {
         let mut faults = Faults::default();
         let raw: RawSettings = faults.read_json(text)?;
-        let settings = faults.check_part("", Self::try_from(raw));
+        let settings = faults.collect_faults("", Self::try_from(raw));
         Ok(faults.into_checked(settings)?)
     }
 }
--- a/src/traffic/body.rs
+++ b/src/traffic/body.rs
@@ -1,7 +1,7 @@
 //! Reads callers' bodies within limits of size and time.
 
 use super::{Failure, FailureCode};
-use crate::adapters::deadline::within;
+use crate::adapters::deadline::timeout_at;
 use bytes::Bytes;
 use http_body_util::{BodyExt, LengthLimitError, Limited};
 use hyper::body::Incoming;
@@ -9,7 +9,7 @@
 
 /// Reads `body`, at most `limit_bytes`, before `deadline`.
 pub async fn read(body: Incoming, limit_bytes: usize, deadline: Instant) -> Result<Bytes, Failure> {
-    let collected = within(deadline, Limited::new(body, limit_bytes).collect()).await;
+    let collected = timeout_at(deadline, Limited::new(body, limit_bytes).collect()).await;
     let Ok(collected) = collected else {
         let message = "the body did not arrive in time";
         return Err(Failure::not_run(FailureCode::BodyTimeout, message));
--- a/src/traffic/generation.rs
+++ b/src/traffic/generation.rs
@@ -6,7 +6,7 @@
 use super::shed_signals::ShedSignal;
 use super::suspects::{SuspectSlot, route_apart};
 use super::{Failure, FailureCode, TrafficContext};
-use crate::adapters::deadline::within;
+use crate::adapters::deadline::timeout_at;
 use crate::control::{Snapshot, TrafficReport};
 use crate::decision::frame_order::{FrameAction, FrameOrder, FramePosition};
 use crate::decision::poison::Suspicion;
@@ -332,7 +332,7 @@
             self.order.next_frame(),
         );
         self.excluded.push(server.clone());
-        let suspicion = if error.is_cut() {
+        let suspicion = if error.is_disconnect() {
             self.check_cut(server, incarnation).await
         } else {
             Suspicion::None
@@ -367,7 +367,7 @@
         if self.suspect_slot.is_some() {
             return;
         }
-        let entered = within(self.request.deadline, self.context.suspects.enter()).await;
+        let entered = timeout_at(self.request.deadline, self.context.suspects.enter()).await;
         self.suspect_slot = entered.ok();
     }
 
--- a/src/types/error.rs
+++ b/src/types/error.rs
@@ -74,7 +74,7 @@
     }
 
     /// Returns whether the peer closed or broke the connection after the request was sent.
-    pub fn is_cut(&self) -> bool {
+    pub fn is_disconnect(&self) -> bool {
         matches!(self.step, Step::ReadHead | Step::ReadBody) && !self.source.is::<DeadlinePassed>()
     }
 
--- a/src/types/faults.rs
+++ b/src/types/faults.rs
@@ -46,7 +46,7 @@
     }
 
     /// Returns a checked part, or adds its faults with `path` before theirs.
-    pub fn check_part<T>(&mut self, path: &str, part: Result<T, Self>) -> Option<T> {
+    pub fn collect_faults<T>(&mut self, path: &str, part: Result<T, Self>) -> Option<T> {
         match part {
             Ok(part) => Some(part),
             Err(Self(found)) => {
