--- a/src/ports/coordination_store.rs
+++ b/src/ports/coordination_store.rs
@@ -1,5 +1,5 @@
-//! Port of the site's store of records: what operators and servers write, where nodes find each
-//! other, and the register of the rollout lease.
+//! Port of the site's record store, which holds the records of operators and servers, the addresses
+//! of the nodes and the register of the rollout lease.
 
 use crate::decision::relay::register_lease::{FencingNumber, RegisterRecord};
 use crate::decision::relay::replica::TopicListing;
@@ -10,45 +10,45 @@
 use std::net::SocketAddr;
 use std::time::Instant;
 
-/// Records that follow an offset.
+/// Result of polling a topic from an offset on.
 #[derive(Clone, Debug)]
 pub enum RecordPage {
-    /// Records in offset order, none if there were none in time.
+    /// Records in offset order, empty if none arrived in time.
     Records {
         /// Records.
         records: Vec<KeyedRecord>,
-        /// Offset to go on from.
+        /// Offset of the next poll.
         next_offset: LogOffset,
     },
-    /// Some of the records have expired; the topic is to be listed again.
+    /// Some of the records have expired; the topic must be listed again.
     Expired,
 }
 
-/// Node that announced itself.
+/// Node that announced itself in the store.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct AnnouncedNode {
     /// Name of the instance.
     pub name: SmolStr,
-    /// Listener of partner links.
+    /// Address of its listener for partner links.
     pub address: SocketAddr,
 }
 
-/// Outcome of a conditional replacement.
+/// Outcome of a conditional replacement of the register's record.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum ReplaceOutcome {
-    /// The record was replaced.
+    /// The record was replaced; the new one has this number.
     Replaced(FencingNumber),
-    /// Another record has come since.
+    /// A newer record exists.
     Conflict,
 }
 
-/// Store of records. A call whose answer is lost may have taken effect, or may still do so.
+/// Record store. A call whose answer is lost may have taken effect or may still take effect.
 #[async_trait]
 pub trait CoordinationStore: Send + Sync {
-    /// Returns the newest record of each key.
+    /// Returns the newest record of each key of a topic.
     async fn list(&self, topic: RecordTopic) -> PeerResult<TopicListing>;
 
-    /// Returns records from an offset on, as soon as there are some or at `wait_until`.
+    /// Returns the records from offset `from` on; waits until `wait_until` if there are none yet.
     async fn poll(
         &self,
         topic: RecordTopic,
@@ -59,13 +59,13 @@
     /// Announces this node.
     async fn announce(&self, node: &AnnouncedNode) -> PeerResult<()>;
 
-    /// Returns the nodes that announced themselves, dead ones among them.
+    /// Returns the nodes that announced themselves, including nodes that no longer run.
     async fn announced_nodes(&self) -> PeerResult<Vec<AnnouncedNode>>;
 
     /// Returns the newest record of the lease register.
     async fn read_register(&self) -> PeerResult<RegisterRecord>;
 
-    /// Replaces the record with number `number` by one of `holder`.
+    /// Makes `holder` the lease holder if the newest record still has number `number`.
     async fn replace_register(
         &self,
         number: FencingNumber,
--- a/src/ports/dialect.rs
+++ b/src/ports/dialect.rs
@@ -1,5 +1,5 @@
-//! Port of the headers and records that a site's callers, servers and operators use: each is
-//! decoded once into types that say what they hold.
+//! Port of the headers and record formats that a site's callers, servers and operators use. Each
+//! site has its own; the rest of the code uses only the types of this module.
 
 use crate::decision::relay::{Configuration, Prompt, ServerEntry};
 use crate::types::{ModelId, RequestId, ServerId, WeightsRevision, WorkspaceId};
@@ -8,106 +8,106 @@
 use smol_str::SmolStr;
 use std::net::SocketAddr;
 
-/// What the head of a caller's request says.
+/// Decoded head of a caller's request.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct RequestHead {
-    /// Id that the caller chose.
+    /// Request id chosen by the caller.
     pub id: Option<RequestId>,
-    /// Milliseconds that the caller waits.
+    /// Milliseconds that the caller waits for the answer.
     pub timeout_ms: Option<u64>,
-    /// Key of a workspace.
+    /// API key of the caller's workspace.
     pub api_key: Option<SmolStr>,
-    /// Prompt, for requests to a model.
+    /// Description of the prompt, for requests to a model.
     pub prompt: Option<Prompt>,
 }
 
-/// What the relay tells a server with a request.
+/// Values to encode into the head of a request that is forwarded to a server.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ForwardHead {
-    /// Server that must be the one that answers.
+    /// Server that must answer; any other has to reject the request.
     pub server: ServerId,
-    /// Milliseconds that the caller still waits.
+    /// Milliseconds until the request's deadline.
     pub remaining_ms: u64,
     /// Workspace of the caller.
     pub workspace: Option<WorkspaceId>,
-    /// Whether the caller's key must not reach the server.
+    /// Whether to remove the caller's API key, which the server must not see.
     pub strips_api_key: bool,
-    /// Priority, 0 is the highest.
+    /// Priority; 0 is the highest.
     pub priority: Option<u8>,
-    /// Weights that the server must hold.
+    /// Revision of the weights that the server must have loaded.
     pub weights: Option<WeightsRevision>,
-    /// Name under which prefixes are cached.
+    /// Salt of the cache keys of the prompt's prefixes.
     pub cache_salt: Option<SmolStr>,
-    /// Where to fetch cached prefixes from.
+    /// Server or store to fetch the prefix's KV cache from.
     pub fetch_from: Option<SocketAddr>,
-    /// Where to save prefixes to.
+    /// Store to save the prefix's KV cache to.
     pub save_to: Option<SocketAddr>,
-    /// Event after which a stream goes on.
+    /// Last event that the caller received, after which a stream resumes.
     pub last_event_id: Option<SmolStr>,
 }
 
-/// What the head of a server's answer says.
+/// Decoded head of a server's answer.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct AnswerHead {
-    /// Request that it answers.
+    /// Id of the answered request.
     pub request_id: Option<RequestId>,
-    /// Whether it bears a server's signature.
+    /// Whether it has a server's signature.
     pub is_signed: bool,
-    /// Whether the server says that it did not run the request and never will.
+    /// Whether the server states that it did not run the request and never will.
     pub is_not_run: bool,
-    /// Server that says it answers.
+    /// Server that answered, as stated by itself.
     pub server: Option<ServerId>,
-    /// Whether the body is not the server's own bytes.
+    /// Whether the body has a content encoding, so that its bytes are not the server's own.
     pub has_content_encoding: bool,
-    /// Weights that the server holds.
+    /// Revision of the weights that the server has loaded.
     pub weights: Option<WeightsRevision>,
-    /// Seconds for which the connection may be reused, if the server says so.
+    /// Seconds for which the idle connection may be reused, `None` if not stated.
     pub keep_alive_s: Option<u64>,
-    /// Whether the server closes the connection.
+    /// Whether the server closes the connection after the answer.
     pub closes_connection: bool,
 }
 
-/// Record that an operator wrote.
+/// Decoded record that an operator wrote.
 #[derive(Clone, Debug)]
 pub enum OperatorRecord {
-    /// Whole configuration.
+    /// Complete configuration.
     Configuration(Box<Configuration>),
-    /// Weights that the servers are to have.
+    /// Weights that all servers of a model have to load.
     Weights {
         /// Model.
         model: ModelId,
-        /// Revision.
+        /// Revision of its weights.
         revision: WeightsRevision,
     },
-    /// Record of another kind.
+    /// Record of a kind that the relay does not use.
     Other,
 }
 
-/// Translator between a site's wire forms and the product's types.
+/// Encoder and decoder of a site's headers and records.
 pub trait Dialect: Send + Sync {
-    /// Reads the head of a caller's request.
+    /// Decodes the head of a caller's request.
     fn read_request(&self, headers: &HeaderMap) -> RequestHead;
 
-    /// Turns a caller's headers into those for a server.
+    /// Turns the headers of a caller's request into those of the request to a server.
     fn write_request(&self, headers: &mut HeaderMap, head: &ForwardHead);
 
-    /// Reads the head of a server's answer.
+    /// Decodes the head of a server's answer.
     fn read_answer(&self, status: StatusCode, headers: &HeaderMap) -> AnswerHead;
 
-    /// Writes the id of the answered request into the head of an answer of the relay's own.
+    /// Sets the request id in the head of an answer that the relay itself produces.
     fn write_request_id(&self, headers: &mut HeaderMap, request: &RequestId);
 
-    /// Reads a record that an operator wrote.
+    /// Decodes a record that an operator wrote.
     ///
     /// # Errors
     ///
-    /// A value that cannot be read; the error names the faults.
+    /// The value is invalid; the error names the faults.
     fn read_operator_record(&self, key: &str, value: &Bytes) -> anyhow::Result<OperatorRecord>;
 
-    /// Reads the record of a server.
+    /// Decodes the record of a server.
     ///
     /// # Errors
     ///
-    /// A value that names no server; the error says why.
+    /// The value does not describe a server; the error says why.
     fn read_server_record(&self, key: &str, value: &Bytes) -> anyhow::Result<ServerEntry>;
 }
--- a/src/ports/engine_control.rs
+++ b/src/ports/engine_control.rs
@@ -1,5 +1,5 @@
-//! Port of what the relay asks of engines beside requests: reports, orders and the state of the
-//! store of kept KV cache.
+//! Port of the control calls of the relay: weight reports and weight orders of model engines, and
+//! the state of the KV store.
 
 use crate::decision::relay::register_lease::FencingNumber;
 use crate::decision::relay::rollout::{RunPolicy, WeightsOrderOutcome, WeightsReport};
@@ -8,38 +8,38 @@
 use std::net::SocketAddr;
 use std::time::Instant;
 
-/// Order to change weights.
+/// Order to a server to load other weights.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct WeightsOrder {
-    /// Server that must be the one that carries it out.
+    /// Server that must carry it out; any other has to reject the order.
     pub server: ServerId,
     /// Model.
     pub model: ModelId,
-    /// Revision.
+    /// Revision of its weights to load.
     pub revision: WeightsRevision,
-    /// What happens to the server's runs.
+    /// What happens to requests that run on the server.
     pub runs: RunPolicy,
-    /// Node that orders.
+    /// Node that holds the rollout lease and sends the order.
     pub holder: InstanceId,
-    /// Fencing number of its lease.
+    /// Fencing number of the lease.
     pub fencing_number: FencingNumber,
-    /// Orders that the server must have accepted so far.
+    /// Number of orders that the server must have accepted so far, or it rejects this one.
     pub accepted_orders: u64,
 }
 
-/// What a look at the store of kept KV cache shows.
+/// State of the KV store, the external store of saved KV cache.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct KvStoreState {
-    /// Run of the store, none if it is busy; another run means that it lost what it kept.
+    /// Incarnation of the store, `None` if it is busy; a new one means that its content was lost.
     pub incarnation: Option<u64>,
-    /// Change after which the next look waits.
+    /// Value of `since` for the next poll.
     pub next_event: u64,
 }
 
-/// Engines as the relay controls them.
+/// Control calls to model engines and the KV store.
 #[async_trait]
 pub trait EngineControl: Send + Sync {
-    /// Returns a server's report about its weights.
+    /// Returns the weights that a server has loaded.
     async fn weights_report(
         &self,
         server: &ServerId,
@@ -47,7 +47,7 @@
         deadline: Instant,
     ) -> PeerResult<WeightsReport>;
 
-    /// Orders a server to change its weights.
+    /// Orders a server to load other weights.
     async fn order(
         &self,
         address: SocketAddr,
@@ -55,8 +55,8 @@
         deadline: Instant,
     ) -> WeightsOrderOutcome;
 
-    /// Looks at the store of kept KV cache; returns once it has changed beyond `since`, or after a
-    /// while.
+    /// Returns the state of the KV store once it has an event after `since`, or after a period that
+    /// the implementation chooses.
     async fn poll_kv_store(
         &self,
         address: SocketAddr,
--- a/src/ports/instance_list.rs
+++ b/src/ports/instance_list.rs
@@ -10,7 +10,7 @@
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum InstanceKind {
-    /// Instance of the system itself.
+    /// Node of this system.
     Entry,
     /// Backend server: model engine or plain service.
     BackendServer,
@@ -22,28 +22,28 @@
 pub enum InstanceState {
     /// In service.
     Live,
-    /// Told to leave; gets no new work.
+    /// Told to shut down; gets no new work.
     Leaving,
 }
 
-/// Instance as listed; the list lags behind the truth.
+/// Instance on the list, which lags behind the actual state.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct InstanceRecord {
-    /// Name: the server id of a backend server, the instance id of an entry instance.
+    /// Server id of a backend server, or instance id of a node.
     pub name: SmolStr,
     /// Kind of the instance.
     pub kind: InstanceKind,
-    /// Address on which the instance is reached; of an entry instance, its partner listener.
+    /// Address of the backend server, or of the node's listener for partner links.
     pub address: SocketAddr,
-    /// Availability zone.
+    /// Availability zone of the instance.
     pub availability_zone: AvailabilityZone,
-    /// State.
+    /// State of the instance.
     pub state: InstanceState,
 }
 
-/// Platform's list of instances.
+/// The platform's instance list.
 #[async_trait]
 pub trait InstanceList: Send + Sync {
-    /// Returns the instances as currently listed.
+    /// Returns all instances on the list.
     async fn list(&self) -> PeerResult<Vec<InstanceRecord>>;
 }
--- a/src/ports/log_service.rs
+++ b/src/ports/log_service.rs
@@ -6,7 +6,7 @@
 use std::time::SystemTime;
 use strum::{Display, EnumIter, IntoStaticStr};
 
-/// Streams that the system keeps on the log; each has offsets of its own.
+/// Streams of the log; each numbers its records from its own first offset.
 #[derive(Clone, Copy, Debug, Display, EnumIter, Eq, Hash, IntoStaticStr, PartialEq)]
 #[strum(serialize_all = "snake_case")]
 pub enum LogStream {
@@ -14,38 +14,38 @@
     Configuration,
     /// Claims of idempotency keys.
     Claims,
-    /// Leases, placement among them.
+    /// Leases, such as the placement lease.
     Leases,
-    /// Holds of power shares.
+    /// Shares of the power budget.
     Power,
 }
 
-/// Record on the log.
+/// Record of a stream.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct LogRecord {
     /// Offset within the stream.
     pub offset: LogOffset,
-    /// Time of the append by the log's clock.
+    /// When it was appended, by the log's clock.
     pub appended_at: SystemTime,
-    /// Payload as appended.
+    /// Payload.
     pub payload: Bytes,
 }
 
 /// Page of records in offset order.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct LogPage {
-    /// Lowest offset that the log still keeps.
+    /// Lowest offset that the log retains.
     pub first_offset: LogOffset,
-    /// Offset that the next append will get.
+    /// Offset of the next append.
     pub next_offset: LogOffset,
-    /// Records from the requested offset on, or from `first_offset` if that is higher.
+    /// Records from the requested offset, or from `first_offset` if that is higher.
     pub records: Vec<LogRecord>,
 }
 
-/// Platform's append-only log. An append whose answer is lost may have taken effect.
+/// The platform's append-only log. An append whose answer is lost may have taken effect.
 #[async_trait]
 pub trait LogService: Send + Sync {
-    /// Appends `payload` and returns its offset.
+    /// Appends a record with `payload` and returns its offset.
     async fn append(&self, stream: LogStream, payload: Bytes) -> PeerResult<LogOffset>;
 
     /// Returns up to `limit` records from offset `from` on.
--- a/src/ports/mod.rs
+++ b/src/ports/mod.rs
@@ -1,4 +1,4 @@
-//! Traits at the edges of a process, and the messages that cross them.
+//! Traits for everything outside the process, and the types of their messages.
 
 pub mod coordination_store;
 pub mod dialect;
--- a/src/ports/model_engine.rs
+++ b/src/ports/model_engine.rs
@@ -1,4 +1,4 @@
-//! Port of a model engine.
+//! Port of the model engines.
 
 use crate::decision::routing::PrefixLevel;
 use crate::types::{
@@ -14,34 +14,34 @@
 /// Request to a model engine.
 #[derive(Clone, Debug)]
 pub struct EngineRequest {
-    /// Id that the engine echoes in each frame.
+    /// Request id, which the engine repeats in each frame.
     pub request_id: RequestId,
     /// Path of the endpoint: `/v1/chat/completions` or `/v1/completions`.
     pub path: &'static str,
-    /// Body in the published form of that endpoint, with `stream` set.
+    /// Body in the public format of that endpoint, with `stream` set.
     pub body: Value,
     /// Priority.
     pub priority: Priority,
-    /// Weights the request must run on.
+    /// Version of the weights that the request must run on.
     pub weights_version: WeightsVersion,
-    /// Number of the first frame wanted; frames before it have reached the caller.
+    /// Number of the first frame to send; the frames before it have reached the caller.
     pub resume_from_frame: u64,
-    /// Levels of the prompt, outermost first.
+    /// Nested prefixes of the prompt, shortest first.
     pub prefix_levels: Vec<PrefixLevel>,
-    /// Prefix keys that the engine should import from the KV store first, outermost level first.
+    /// Keys of the prefixes to import from the KV store before prefilling, shortest first.
     pub import_keys: Vec<u64>,
     /// Milliseconds that the engine may take for the whole request.
     pub time_limit_ms: u64,
 }
 
-/// Frame of a stream, in order, numbered from 0 without gaps.
+/// Frame of an answer stream; frames are numbered from 0 without gaps.
 #[derive(Clone, Debug, PartialEq)]
 pub enum EngineFrame {
     /// Piece of the answer.
     Piece {
         /// Number of the frame.
         number: u64,
-        /// Chunk in the published form of the endpoint.
+        /// Chunk in the public format of the endpoint.
         chunk: Value,
     },
     /// End of a complete answer.
@@ -52,37 +52,37 @@
         prompt_tokens: u32,
         /// Prompt tokens that came from the engine's cache.
         cached_tokens: u32,
-        /// Tokens generated.
+        /// Generated tokens.
         completion_tokens: u32,
     },
 }
 
-/// Stream of frames. It ends after [`EngineFrame::End`] or with an error, never silently.
+/// Stream of frames, which always ends with [`EngineFrame::End`] or an error.
 pub type FrameStream = Pin<Box<dyn Stream<Item = PeerResult<EngineFrame>> + Send>>;
 
-/// Answer under way.
+/// Answer whose frames are still being received.
 pub struct EngineAnswer {
     /// Incarnation of the engine that runs the request.
     pub incarnation: Incarnation,
-    /// Load report that came with the head of the answer, if the engine sends one.
+    /// Load report in the head of the answer, `None` if the engine sends none.
     pub load: Option<LoadReport>,
-    /// Frames.
+    /// Frames of the answer.
     pub frames: FrameStream,
 }
 
-/// Model loaded on an engine.
+/// Model that an engine has loaded or is to load.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct LoadedModel {
     /// Model.
     pub model: ModelId,
     /// Version of its weights.
     pub weights_version: WeightsVersion,
-    /// Adapters loaded beside it.
+    /// Adapters loaded with it.
     #[serde(default)]
     pub adapters: Vec<ModelId>,
 }
 
-/// Load of an engine; it lags behind the truth.
+/// Load of an engine when it sent the report.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct LoadReport {
     /// Incarnation of the engine.
@@ -91,19 +91,19 @@
     pub running_requests: u32,
     /// Requests waiting.
     pub waiting_requests: u32,
-    /// Prompt tokens waiting to be computed.
+    /// Prompt tokens waiting for prefill.
     pub waiting_prompt_tokens: u64,
     /// Models loaded.
     pub models: Vec<LoadedModel>,
     /// Models being loaded.
     #[serde(default)]
     pub loading: Vec<LoadedModel>,
-    /// Whether the engine is leaving.
+    /// Whether the engine is shutting down.
     pub leaving: bool,
-    /// Highest fencing number seen in an order, 0 if none.
+    /// Highest fencing number in an order so far, 0 if there was none.
     #[serde(default)]
     pub fencing_number: LogOffset,
-    /// Sequence number that the next cache event will get.
+    /// Sequence number of the next cache event.
     pub next_event: u64,
 }
 
@@ -111,20 +111,20 @@
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(tag = "kind", rename_all = "snake_case")]
 pub enum CacheEvent {
-    /// The prefix up to a level is cached.
+    /// The prefix up to the end of a level was cached.
     Stored {
-        /// Sequence number; a gap means lost events.
+        /// Sequence number; a gap means that events were lost.
         sequence: u64,
-        /// Key that the request named for the level.
+        /// Key of the level, as sent with the request.
         prefix_key: u64,
-        /// Tokens up to the end of the level.
+        /// Tokens of the prompt up to the end of the level.
         tokens: u32,
     },
-    /// The prefix up to a level is no longer wholly cached.
+    /// The prefix up to the end of a level is no longer completely cached.
     Evicted {
-        /// Sequence number; a gap means lost events.
+        /// Sequence number; a gap means that events were lost.
         sequence: u64,
-        /// Key that the request named for the level.
+        /// Key of the level, as sent with the request.
         prefix_key: u64,
     },
 }
@@ -134,18 +134,18 @@
 pub struct CacheEventPage {
     /// Incarnation of the engine.
     pub incarnation: Incarnation,
-    /// Sequence number to ask for next.
+    /// Sequence number from which to read next.
     pub next_event: u64,
-    /// Events in sequence order, perhaps with gaps.
+    /// Events in sequence order, possibly with gaps.
     pub events: Vec<CacheEvent>,
 }
 
-/// Order to an engine; it states the wanted end state in absolute terms.
+/// Order to an engine. It describes the complete target state, so it can be repeated.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct EngineOrder {
-    /// Fencing number of the lease under which the order is given.
+    /// Fencing number of the lease under which the order is sent.
     pub fencing_number: LogOffset,
-    /// What is ordered.
+    /// Target state.
     pub kind: EngineOrderKind,
 }
 
@@ -155,7 +155,7 @@
 pub enum EngineOrderKind {
     /// Serve exactly these models.
     ServeModels {
-        /// Wanted models.
+        /// Models to serve.
         models: Vec<LoadedModel>,
     },
 }
@@ -164,31 +164,31 @@
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum OrderOutcome {
-    /// Accepted; loading may still go on.
+    /// Accepted; the models may still be loading.
     Accepted,
-    /// Refused because a higher fencing number has been seen.
+    /// Rejected because the engine has seen a higher fencing number.
     Fenced,
 }
 
-/// Model engines, each reached by its address.
+/// Client of model engines, which are identified by their address.
 #[async_trait]
 pub trait ModelEngine: Send + Sync {
-    /// Starts a request and returns its answer under way.
+    /// Starts a request and returns its answer once the head has arrived.
     async fn generate(
         &self,
         address: SocketAddr,
         request: EngineRequest,
     ) -> PeerResult<EngineAnswer>;
 
-    /// Cancels a request; a request that is not running is not an error.
+    /// Cancels a request; cancelling one that does not run is not an error.
     async fn cancel(&self, address: SocketAddr, request_id: RequestId) -> PeerResult<()>;
 
-    /// Returns the engine's load report.
+    /// Returns the current load report of an engine.
     async fn load(&self, address: SocketAddr) -> PeerResult<LoadReport>;
 
-    /// Returns cache events from sequence number `from` on.
+    /// Returns the cache events of an engine from sequence number `from` on.
     async fn cache_events(&self, address: SocketAddr, from: u64) -> PeerResult<CacheEventPage>;
 
-    /// Gives an order.
+    /// Sends an order to an engine.
     async fn order(&self, address: SocketAddr, order: EngineOrder) -> PeerResult<OrderOutcome>;
 }
--- a/src/ports/plain_service.rs
+++ b/src/ports/plain_service.rs
@@ -1,4 +1,4 @@
-//! Port of a plain service beside the model engines.
+//! Port of the plain services, which the site offers besides models.
 
 use crate::types::PeerResult;
 use async_trait::async_trait;
@@ -8,34 +8,34 @@
 use std::net::SocketAddr;
 use std::time::Instant;
 
-/// Call to a plain service.
+/// HTTP call to a plain service.
 #[derive(Clone, Debug)]
 pub struct ServiceCall {
     /// Method.
     pub method: Method,
-    /// Path and query below the service's root.
+    /// Path and query, relative to the root of the service.
     pub path: SmolStr,
-    /// Headers passed on.
+    /// Headers to forward to the service.
     pub headers: HeaderMap,
     /// Body.
     pub body: Bytes,
 }
 
-/// Complete response of a plain service.
+/// Complete HTTP response of a plain service.
 #[derive(Clone, Debug)]
 pub struct ServiceResponse {
     /// Status.
     pub status: StatusCode,
-    /// Headers passed back.
+    /// Headers to forward to the caller.
     pub headers: HeaderMap,
     /// Body.
     pub body: Bytes,
 }
 
-/// Plain service. An error tells whether the call can have run.
+/// Client of plain services. Its errors state whether the call may have run.
 #[async_trait]
 pub trait PlainService: Send + Sync {
-    /// Sends `call` to the server at `address` and returns its whole response.
+    /// Sends `call` to the server at `address` and returns the complete response.
     async fn call(
         &self,
         address: SocketAddr,
