--- a/src/adapters/connection_pool.rs
+++ b/src/adapters/connection_pool.rs
@@ -1,7 +1,7 @@
-//! Kept HTTP/1.1 connections to backend servers.
+//! Pool of HTTP/1.1 connections to backend servers.
 //!
-//! A connection is used again only after a whole answer that the caller accepted; whatever else
-//! happens on it closes it.
+//! A connection is reused only if the caller releases it after it has read the complete answer. In
+//! all other cases it is closed.
 
 use super::deadline::timeout_at;
 use crate::types::{Delivery, PeerError, PeerResult, ServerId, Step};
@@ -20,32 +20,32 @@
 use std::sync::{Mutex, MutexGuard, PoisonError, Weak};
 use std::time::{Duration, Instant};
 
-/// Time that opening a connection may take: several round trips between availability zones, and
-/// less than the first retransmission of a lost packet.
+/// Maximum time to open a connection: several round trips between availability zones, but less
+/// than the first retransmission of a lost packet takes.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// Time after which the kernel gives up on sent bytes that are not acknowledged.
+/// Time after which the kernel closes a connection with unacknowledged bytes.
 const UNACKNOWLEDGED_TIMEOUT_MS: u32 = 1_500;
 
-/// Idle time after which the kernel probes a connection; with the next two constants a silent peer
-/// is noticed within two seconds.
+/// Idle time before the first keepalive probe. With the next two constants the kernel detects a
+/// silent peer within two seconds.
 const KEEPALIVE_IDLE: Duration = Duration::from_secs(1);
 
-/// Time between two probes of the kernel.
+/// Time between two keepalive probes.
 const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Unanswered probes after which a connection counts as dead.
+/// Unanswered keepalive probes after which the kernel closes a connection.
 const KEEPALIVE_PROBES: u32 = 2;
 
-/// Time that a kept connection may take to become ready.
+/// Maximum time for an idle connection to become ready.
 const READY_TIMEOUT: Duration = Duration::from_millis(20);
 
-/// Largest read buffer of a connection.
-const BUFFER_BYTES: usize = 32 * 1024;
+/// Maximum read buffer of a connection.
+const MAX_BUFFER_BYTES: usize = 32 * 1024;
 
 struct Connection {
     sender: SendRequest<Full<Bytes>>,
-    /// Drives the connection; dropping it closes the connection.
+    /// Performs the I/O; dropping it closes the connection.
     _driver: Task<()>,
 }
 
@@ -56,13 +56,13 @@
 
 type IdleConnections = HashMap<(ServerId, SocketAddr), Vec<IdleConnection>>;
 
-/// Kept connections to servers.
+/// Pool of idle connections by server and address.
 pub struct ConnectionPool {
     executor: Weak<Executor<'static>>,
     idle: Mutex<IdleConnections>,
 }
 
-/// Answer under way on a connection of the pool.
+/// Answer whose body is still being received on a connection of the pool.
 pub struct PooledExchange {
     /// Status.
     pub status: StatusCode,
@@ -74,7 +74,7 @@
 }
 
 impl ConnectionPool {
-    /// Returns an empty pool whose connections are driven by `executor`.
+    /// Returns an empty pool, which runs the I/O of its connections on `executor`.
     pub fn new(executor: Weak<Executor<'static>>) -> Self {
         Self { executor, idle: Mutex::default() }
     }
@@ -83,7 +83,7 @@
     ///
     /// # Errors
     ///
-    /// The step that failed; the delivery says whether the server may have got the request.
+    /// The step that failed, and whether the server may have received the request.
     pub async fn send(
         &self,
         server: &ServerId,
@@ -92,7 +92,7 @@
         deadline: Instant,
     ) -> PeerResult<PooledExchange> {
         let key = (server.clone(), address);
-        let mut connection = self.connection(&key, deadline).await?;
+        let mut connection = self.acquire(&key, deadline).await?;
         let sent = timeout_at(deadline, connection.sender.send_request(request)).await;
         let answer = sent.map_err(|error| head_error(&key, Delivery::Unknown, error.into()))?;
         let answer = answer.map_err(|error| {
@@ -103,26 +103,26 @@
         Ok(PooledExchange { status: parts.status, headers: parts.headers, body, connection, key })
     }
 
-    /// Closes idle connections that may not be used any more.
+    /// Closes idle connections that have expired or that the server has closed.
     pub fn close_expired(&self, now: Instant) {
         self.lock().retain(|_, idle| {
-            idle.retain(|kept| now < kept.usable_until && !kept.connection.sender.is_closed());
+            idle.retain(|entry| now < entry.usable_until && !entry.connection.sender.is_closed());
             !idle.is_empty()
         });
     }
 
     /// Closes the idle connections to a server.
     pub fn close_idle_connections(&self, server: &ServerId) {
-        self.lock().retain(|(kept, _), _| kept != server);
+        self.lock().retain(|(id, _), _| id != server);
     }
 
-    /// Keeps the connection of an exchange whose answer was read to its end.
+    /// Returns the connection of `exchange` to the pool; its answer must have been read completely.
     pub fn release(&self, exchange: PooledExchange, usable_until: Instant) {
         let PooledExchange { connection, key, .. } = exchange;
         self.lock().entry(key).or_default().push(IdleConnection { connection, usable_until });
     }
 
-    async fn connection(
+    async fn acquire(
         &self,
         key: &(ServerId, SocketAddr),
         deadline: Instant,
@@ -139,8 +139,8 @@
     fn take_idle(&self, key: &(ServerId, SocketAddr)) -> Option<Connection> {
         let now = Instant::now();
         let mut idle = self.lock();
-        let kept = idle.get_mut(key)?;
-        while let Some(IdleConnection { connection, usable_until }) = kept.pop() {
+        let connections = idle.get_mut(key)?;
+        while let Some(IdleConnection { connection, usable_until }) = connections.pop() {
             if now < usable_until && !connection.sender.is_closed() {
                 return Some(connection);
             }
@@ -153,21 +153,21 @@
         key: &(ServerId, SocketAddr),
         deadline: Instant,
     ) -> PeerResult<Connection> {
-        let failed = |error: anyhow::Error| {
+        let connect_error = |error: anyhow::Error| {
             PeerError::new(Step::Connect, key.0.clone(), Delivery::NotSent, error)
         };
-        let executor = self.executor.upgrade().ok_or_else(|| failed(anyhow!("stopping")))?;
+        let executor = self.executor.upgrade().ok_or_else(|| connect_error(anyhow!("stopping")))?;
         let deadline = deadline.min(Instant::now() + CONNECT_TIMEOUT);
         let stream = timeout_at(deadline, TcpStream::connect(key.1))
             .await
-            .map_err(|error| failed(error.into()))?
-            .map_err(|error| failed(error.into()))?;
-        set_options(&stream).map_err(|error| failed(error.into()))?;
+            .map_err(|error| connect_error(error.into()))?
+            .map_err(|error| connect_error(error.into()))?;
+        set_options(&stream).map_err(|error| connect_error(error.into()))?;
         let (sender, connection) = http1::Builder::new()
-            .max_buf_size(BUFFER_BYTES)
+            .max_buf_size(MAX_BUFFER_BYTES)
             .handshake(FuturesIo::new(stream))
             .await
-            .map_err(|error| failed(error.into()))?;
+            .map_err(|error| connect_error(error.into()))?;
         let driver = executor.spawn(async move {
             if let Err(error) = connection.await {
                 log::debug!("event=server_connection_ended error=\"{error}\"");
@@ -185,7 +185,7 @@
     PeerError::new(Step::ReadHead, key.0.clone(), delivery, error)
 }
 
-/// Makes the kernel notice a peer that has fallen silent.
+/// Sets the options with which the kernel detects a silent peer.
 fn set_options(stream: &TcpStream) -> std::io::Result<()> {
     stream.set_nodelay(true)?;
     sockopt::set_tcp_user_timeout(stream, UNACKNOWLEDGED_TIMEOUT_MS)?;
@@ -197,11 +197,11 @@
 }
 
 impl PooledExchange {
-    /// Returns the next data of the body, or none at its end.
+    /// Returns the next chunk of the body, `None` at its end.
     ///
     /// # Errors
     ///
-    /// The answer broke off, or the deadline passed.
+    /// The connection was lost, or the deadline passed.
     pub async fn next_data(&mut self, deadline: Instant) -> PeerResult<Option<Bytes>> {
         loop {
             let frame = match timeout_at(deadline, self.body.frame()).await {
@@ -216,20 +216,20 @@
         }
     }
 
-    /// Reads the whole body, at most `limit_bytes`.
+    /// Reads the whole body, at most `max_bytes`.
     ///
     /// # Errors
     ///
-    /// The answer broke off or is too long, or the deadline passed.
-    pub async fn read_all(&mut self, limit_bytes: usize, deadline: Instant) -> PeerResult<Bytes> {
-        let mut whole = BytesMut::new();
+    /// The connection was lost, the body is too long, or the deadline passed.
+    pub async fn read_all(&mut self, max_bytes: usize, deadline: Instant) -> PeerResult<Bytes> {
+        let mut body = BytesMut::new();
         while let Some(data) = self.next_data(deadline).await? {
-            if whole.len() + data.len() > limit_bytes {
-                return Err(self.body_error(anyhow!("body exceeds {limit_bytes} bytes")));
+            if body.len() + data.len() > max_bytes {
+                return Err(self.body_error(anyhow!("body exceeds {max_bytes} bytes")));
             }
-            whole.extend_from_slice(&data);
+            body.extend_from_slice(&data);
         }
-        Ok(whole.freeze())
+        Ok(body.freeze())
     }
 
     fn body_error(&self, error: anyhow::Error) -> PeerError {
--- a/src/adapters/deadline.rs
+++ b/src/adapters/deadline.rs
@@ -1,4 +1,4 @@
-//! Bounds a future by a deadline.
+//! Deadline for a future.
 
 use crate::types::DeadlinePassed;
 use futures_lite::FutureExt;
@@ -6,7 +6,7 @@
 use std::future::Future;
 use std::time::Instant;
 
-/// Returns the output of `future`, or an error once `deadline` has passed.
+/// Returns the output of `future`, or an error if it is not ready at `deadline`.
 pub async fn timeout_at<T>(
     deadline: Instant,
     future: impl Future<Output = T>,
--- a/src/adapters/http_client.rs
+++ b/src/adapters/http_client.rs
@@ -1,7 +1,7 @@
-//! HTTP/1.1 exchanges with a peer, one connection each.
+//! HTTP/1.1 client that opens one connection for each request.
 //!
-//! The connection is driven by whoever reads the response and closes when the [`Exchange`] is
-//! dropped, which tells the peer that nobody waits any more.
+//! The connection makes progress only while the response is read. Dropping the [`Exchange`] closes
+//! it, which shows the peer that the response is no longer awaited.
 
 use super::deadline::timeout_at;
 use crate::types::{Delivery, PeerError, PeerResult, Step};
@@ -20,12 +20,13 @@
 use std::task::{Context, Poll};
 use std::time::{Duration, Instant};
 
-/// Time that opening a connection may take.
+/// Maximum time to open a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(1_000);
 
+/// Future that performs the I/O of a connection.
 type Driver = Pin<Box<Connection<FuturesIo<TcpStream>, Full<Bytes>>>>;
 
-/// Response under way.
+/// Response whose body is still being received.
 pub struct Exchange {
     /// Status.
     pub status: StatusCode,
@@ -53,27 +54,28 @@
         drive(&mut driver, cx);
         response.as_mut().poll(cx)
     });
-    let failed = |error: anyhow::Error| {
+    let head_error = |error: anyhow::Error| {
         PeerError::new(Step::ReadHead, peer.clone(), Delivery::Unknown, error)
     };
-    let head = timeout_at(deadline, head).await.map_err(|error| failed(error.into()))?;
-    let (parts, body) = head.map_err(|error| failed(error.into()))?.into_parts();
+    let head = timeout_at(deadline, head).await.map_err(|error| head_error(error.into()))?;
+    let (parts, body) = head.map_err(|error| head_error(error.into()))?.into_parts();
     Ok(Exchange { status: parts.status, headers: parts.headers, peer, body, driver })
 }
 
 async fn connect(address: SocketAddr, peer: &SmolStr, deadline: Instant) -> PeerResult<TcpStream> {
-    let failed = |error: anyhow::Error| {
+    let connect_error = |error: anyhow::Error| {
         PeerError::new(Step::Connect, peer.clone(), Delivery::NotSent, error)
     };
     let deadline = deadline.min(Instant::now() + CONNECT_TIMEOUT);
     let stream = timeout_at(deadline, TcpStream::connect(address))
         .await
-        .map_err(|error| failed(error.into()))?
-        .map_err(|error| failed(error.into()))?;
-    stream.set_nodelay(true).map_err(|error| failed(error.into()))?;
+        .map_err(|error| connect_error(error.into()))?
+        .map_err(|error| connect_error(error.into()))?;
+    stream.set_nodelay(true).map_err(|error| connect_error(error.into()))?;
     Ok(stream)
 }
 
+/// Polls the connection, and drops it once it has closed.
 fn drive(driver: &mut Option<Driver>, cx: &mut Context<'_>) {
     let Some(connection) = driver else { return };
     if connection.as_mut().poll(cx).is_ready() {
@@ -82,7 +84,7 @@
 }
 
 impl Exchange {
-    /// Returns the next data of the body, or none at its end.
+    /// Returns the next chunk of the body, `None` at its end.
     pub async fn next_data(&mut self, deadline: Instant) -> PeerResult<Option<Bytes>> {
         let next = poll_fn(|cx| self.poll_data(cx));
         match timeout_at(deadline, next).await {
@@ -112,39 +114,39 @@
         }
     }
 
-    /// Reads the whole body, at most `limit_bytes`.
-    pub async fn read_all(&mut self, limit_bytes: usize, deadline: Instant) -> PeerResult<Bytes> {
-        let mut whole = BytesMut::new();
+    /// Reads the whole body, at most `max_bytes`.
+    pub async fn read_all(&mut self, max_bytes: usize, deadline: Instant) -> PeerResult<Bytes> {
+        let mut body = BytesMut::new();
         while let Some(data) = self.next_data(deadline).await? {
-            if whole.len() + data.len() > limit_bytes {
-                let error = anyhow::anyhow!("body exceeds {limit_bytes} bytes");
+            if body.len() + data.len() > max_bytes {
+                let error = anyhow::anyhow!("body exceeds {max_bytes} bytes");
                 return Err(self.error(Step::ReadBody, error));
             }
-            whole.extend_from_slice(&data);
+            body.extend_from_slice(&data);
         }
-        Ok(whole.freeze())
+        Ok(body.freeze())
     }
 
-    /// Returns an error of this exchange after the request was sent.
+    /// Returns an error at `step` after the request was sent, so the peer may have acted on it.
     pub fn error(&self, step: Step, source: anyhow::Error) -> PeerError {
         PeerError::new(step, self.peer.clone(), Delivery::Unknown, source)
     }
 
-    /// Returns an error that says the peer refused the request without acting on it.
+    /// Returns the error for a peer that refused the request without acting on it.
     pub fn refusal(&self, source: anyhow::Error) -> PeerError {
         PeerError::new(Step::Refused, self.peer.clone(), Delivery::Refused, source)
     }
 }
 
-/// Sends `request` and decodes the JSON body of a successful response.
+/// Sends `request` and decodes the response's JSON body; a status other than success is an error.
 pub async fn fetch_json<T: DeserializeOwned>(
     address: SocketAddr,
     request: Request<Full<Bytes>>,
-    limit_bytes: usize,
+    max_bytes: usize,
     deadline: Instant,
 ) -> PeerResult<T> {
     let mut exchange = send(address, request, deadline).await?;
-    let body = exchange.read_all(limit_bytes, deadline).await?;
+    let body = exchange.read_all(max_bytes, deadline).await?;
     if !exchange.status.is_success() {
         let error = anyhow::anyhow!("status {}", exchange.status);
         return Err(exchange.error(Step::Refused, error));
--- a/src/adapters/http_server.rs
+++ b/src/adapters/http_server.rs
@@ -1,4 +1,4 @@
-//! HTTP/1.1 listener: accepts connections, bounds heads, and closes gracefully.
+//! HTTP/1.1 server with a limit on request heads and graceful shutdown.
 
 use anyhow::Context;
 use arc_swap::ArcSwap;
@@ -21,43 +21,44 @@
 use std::sync::{Arc, Weak};
 use std::time::Duration;
 
-/// A response broke off; the connection closes so that it cannot look complete.
+/// The body of a response was aborted. The connection is closed so that the response does not look
+/// complete.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct BodyAborted;
 
 impl fmt::Display for BodyAborted {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str("the response broke off")
+        f.write_str("the response body was aborted")
     }
 }
 
 impl std::error::Error for BodyAborted {}
 
-/// Body of a response.
+/// Body of a [`Reply`].
 pub type ReplyBody = UnsyncBoxBody<Bytes, BodyAborted>;
 
-/// Response to a caller.
+/// HTTP response to a caller.
 pub type Reply = Response<ReplyBody>;
 
-/// Future of a response.
+/// Future of a [`Reply`].
 pub type ReplyFuture = Pin<Box<dyn Future<Output = Reply> + Send>>;
 
-/// Function that answers requests.
+/// Function that handles requests.
 pub type Handler = Arc<dyn Fn(Request<Incoming>) -> ReplyFuture + Send + Sync>;
 
 /// Limits of a listener.
 #[derive(Clone, Copy, Debug)]
 pub struct ListenerLimits {
-    /// Bytes of a request's head.
+    /// Maximum bytes of a request's head.
     pub head_bytes: usize,
-    /// Milliseconds that a caller may take to send a head.
+    /// Milliseconds in which a caller must send a head.
     pub head_timeout_ms: u64,
 }
 
-/// Least read buffer that hyper accepts.
-const LEAST_BUFFER_BYTES: usize = 8 * 1024;
+/// Minimum read buffer that hyper accepts.
+const MIN_BUFFER_BYTES: usize = 8 * 1024;
 
-/// Binds the listener `name` at once, so that its port is known before it serves.
+/// Binds the listener `name`, so that its port is known before [`serve`] runs.
 ///
 /// # Errors
 ///
@@ -71,10 +72,10 @@
     Ok(listener.into())
 }
 
-/// Accepts connections until `drain` closes; open connections then finish their requests.
+/// Accepts connections until `drain` closes, after which open connections finish their requests.
 ///
-/// Connections are tasks on `executor`, which is held weakly so that dropping it drops them. A
-/// connection has the limits in force when it was opened.
+/// Connections are tasks on `executor`. The reference to it is weak, so dropping the executor closes
+/// them. A connection keeps the limits that were in force when it was opened.
 pub async fn serve(
     listener: TcpListener,
     executor: Weak<Executor<'static>>,
@@ -120,7 +121,7 @@
     let connection = http1::Builder::new()
         .timer(SmolTimer::new())
         .header_read_timeout(Duration::from_millis(limits.head_timeout_ms))
-        .max_buf_size(limits.head_bytes.max(LEAST_BUFFER_BYTES))
+        .max_buf_size(limits.head_bytes.max(MIN_BUFFER_BYTES))
         .serve_connection(FuturesIo::new(stream), service);
     let mut connection = std::pin::pin!(connection);
     let finished = async { Some(connection.as_mut().await) };
--- a/src/adapters/instance_list.rs
+++ b/src/adapters/instance_list.rs
@@ -1,4 +1,4 @@
-//! Platform's instance list over HTTP.
+//! Client of the platform's instance list over HTTP.
 
 use super::http_client::fetch_json;
 use crate::ports::{InstanceList, InstanceRecord};
@@ -10,8 +10,8 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-/// Most bytes of the list.
-const LIST_LIMIT_BYTES: usize = 4 * 1024 * 1024;
+/// Maximum size of the list.
+const MAX_LIST_BYTES: usize = 4 * 1024 * 1024;
 
 /// Client of the instance list.
 #[derive(Clone, Debug)]
@@ -26,7 +26,7 @@
 }
 
 impl HttpInstanceList {
-    /// Returns a client of the list at `address`.
+    /// Returns a client of the list at `address`; each call may take `timeout`.
     pub fn new(address: SocketAddr, timeout: Duration) -> Self {
         Self { address, timeout }
     }
@@ -40,8 +40,7 @@
             .body(Full::default())
             .expect("a valid request");
         let deadline = Instant::now() + self.timeout;
-        let reply: ListReply =
-            fetch_json(self.address, request, LIST_LIMIT_BYTES, deadline).await?;
+        let reply: ListReply = fetch_json(self.address, request, MAX_LIST_BYTES, deadline).await?;
         Ok(reply.instances)
     }
 }
--- a/src/adapters/kv_store.rs
+++ b/src/adapters/kv_store.rs
@@ -1,4 +1,4 @@
-//! Store of kept KV cache over HTTP.
+//! Client of the KV store over HTTP.
 
 use super::http_client::fetch_json;
 use crate::ports::KvStore;
@@ -10,8 +10,8 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-/// Most bytes of an answer.
-const ANSWER_LIMIT_BYTES: usize = 64 * 1024;
+/// Maximum size of a response.
+const MAX_RESPONSE_BYTES: usize = 64 * 1024;
 
 /// Client of the KV store.
 #[derive(Clone, Debug)]
@@ -21,17 +21,17 @@
 }
 
 #[derive(Serialize)]
-struct KeptQuery<'a> {
+struct StoredTokensQuery<'a> {
     prefix_keys: &'a [u64],
 }
 
 #[derive(Deserialize)]
-struct KeptReply {
+struct StoredTokensReply {
     kept_tokens: Vec<u32>,
 }
 
 impl HttpKvStore {
-    /// Returns a client of the store at `address`.
+    /// Returns a client of the store at `address`; each call may take `timeout`.
     pub fn new(address: SocketAddr, timeout: Duration) -> Self {
         Self { address, timeout }
     }
@@ -40,15 +40,15 @@
 #[async_trait]
 impl KvStore for HttpKvStore {
     async fn stored_tokens(&self, prefix_keys: &[u64]) -> PeerResult<Vec<u32>> {
-        let body = serde_json::to_vec(&KeptQuery { prefix_keys }).expect("numbers encode");
+        let body = serde_json::to_vec(&StoredTokensQuery { prefix_keys }).expect("numbers encode");
         let request = Request::post("/kept")
             .header("host", self.address.to_string())
             .header("content-type", "application/json")
             .body(Full::new(body.into()))
             .expect("a valid request");
         let deadline = Instant::now() + self.timeout;
-        let reply: KeptReply =
-            fetch_json(self.address, request, ANSWER_LIMIT_BYTES, deadline).await?;
+        let reply: StoredTokensReply =
+            fetch_json(self.address, request, MAX_RESPONSE_BYTES, deadline).await?;
         Ok(reply.kept_tokens)
     }
 }
--- a/src/adapters/log_service.rs
+++ b/src/adapters/log_service.rs
@@ -1,4 +1,4 @@
-//! Platform's log over HTTP.
+//! Client of the platform's log over HTTP.
 
 use super::http_client::fetch_json;
 use crate::ports::{LogPage, LogRecord, LogService, LogStream};
@@ -14,8 +14,8 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant, SystemTime};
 
-/// Most bytes of a page of records.
-const PAGE_LIMIT_BYTES: usize = 64 * 1024 * 1024;
+/// Maximum size of a response, which for a read is a page of records.
+const MAX_RESPONSE_BYTES: usize = 64 * 1024 * 1024;
 
 /// Client of the platform's log.
 #[derive(Clone, Debug)]
@@ -44,18 +44,18 @@
 }
 
 impl HttpLogService {
-    /// Returns a client of the log at `address`.
+    /// Returns a client of the log at `address`; each call may take `timeout`.
     pub fn new(address: SocketAddr, timeout: Duration) -> Self {
         Self { address, timeout }
     }
 
-    fn decode_record(&self, raw: RecordReply) -> PeerResult<LogRecord> {
-        let payload = STANDARD.decode(&raw.payload).map_err(|error| {
+    fn decode_record(&self, reply: RecordReply) -> PeerResult<LogRecord> {
+        let payload = STANDARD.decode(&reply.payload).map_err(|error| {
             PeerError::new(Step::Decode, self.address.to_smolstr(), Delivery::Unknown, error)
         })?;
         Ok(LogRecord {
-            offset: raw.offset,
-            appended_at: SystemTime::UNIX_EPOCH + Duration::from_millis(raw.appended_at_unix_ms),
+            offset: reply.offset,
+            appended_at: SystemTime::UNIX_EPOCH + Duration::from_millis(reply.appended_at_unix_ms),
             payload: payload.into(),
         })
     }
@@ -70,7 +70,7 @@
             .expect("a valid request");
         let deadline = Instant::now() + self.timeout;
         let reply: AppendReply =
-            fetch_json(self.address, request, PAGE_LIMIT_BYTES, deadline).await?;
+            fetch_json(self.address, request, MAX_RESPONSE_BYTES, deadline).await?;
         Ok(reply.offset)
     }
 
@@ -81,11 +81,11 @@
             .expect("a valid request");
         let deadline = Instant::now() + self.timeout;
         let reply: PageReply =
-            fetch_json(self.address, request, PAGE_LIMIT_BYTES, deadline).await?;
+            fetch_json(self.address, request, MAX_RESPONSE_BYTES, deadline).await?;
         let records = reply
             .records
             .into_iter()
-            .map(|raw| self.decode_record(raw))
+            .map(|record| self.decode_record(record))
             .collect::<PeerResult<Vec<_>>>()?;
         Ok(LogPage { first_offset: reply.first_offset, next_offset: reply.next_offset, records })
     }
--- a/src/adapters/mod.rs
+++ b/src/adapters/mod.rs
@@ -1,4 +1,4 @@
-//! Adapters: the published protocols behind the ports, over HTTP/1.1.
+//! Implementations of the ports over HTTP/1.1, and the HTTP client and server that they share.
 
 pub mod connection_pool;
 pub mod deadline;
--- a/src/adapters/model_engine.rs
+++ b/src/adapters/model_engine.rs
@@ -1,4 +1,4 @@
-//! Model engines over HTTP with server-sent events.
+//! Client of model engines over HTTP with server-sent events.
 
 use super::http_client::{Exchange, fetch_json, send};
 use crate::ports::{
@@ -19,10 +19,10 @@
 use std::pin::Pin;
 use std::time::{Duration, Instant};
 
-/// Most bytes of a report or a page of events.
-const REPORT_LIMIT_BYTES: usize = 1024 * 1024;
+/// Maximum size of a response that is not an answer stream.
+const MAX_RESPONSE_BYTES: usize = 1024 * 1024;
 
-/// Data of the event that ends a stream.
+/// Data of the last event of a stream.
 const DONE: &str = "[DONE]";
 
 type DataStream = Pin<Box<dyn Stream<Item = PeerResult<Bytes>> + Send>>;
@@ -54,6 +54,7 @@
     cached_tokens: u32,
 }
 
+/// Decodes the events of an answer stream into frames.
 struct FrameReader {
     events: EventStream<DataStream>,
     peer: SmolStr,
@@ -62,8 +63,8 @@
 }
 
 impl HttpModelEngine {
-    /// Returns a client for a node in `availability_zone`. Reports and the heads of answers may take
-    /// `timeout`, the time between two frames is at most `frame_timeout`.
+    /// Returns a client for a node in `availability_zone`. The head of an answer and other calls may
+    /// take `timeout`, and the pause before each frame `frame_timeout`.
     pub fn new(
         availability_zone: AvailabilityZone,
         timeout: Duration,
@@ -101,7 +102,7 @@
             return Err(refusal(&mut exchange, deadline).await);
         }
         let incarnation = header_number(&exchange.headers, "x-incarnation").unwrap_or(0);
-        let load = header_report(&exchange.headers);
+        let load = load_report_header(&exchange.headers);
         let data = read_data(exchange, self.frame_timeout, deadline);
         let reader = FrameReader {
             events: data.eventsource(),
@@ -119,18 +120,18 @@
             .body(Full::default())
             .expect("a valid request");
         let _reply: Value =
-            fetch_json(address, request, REPORT_LIMIT_BYTES, self.deadline()).await?;
+            fetch_json(address, request, MAX_RESPONSE_BYTES, self.deadline()).await?;
         Ok(())
     }
 
     async fn load(&self, address: SocketAddr) -> PeerResult<LoadReport> {
         let request = self.get(address, String::from("/load"));
-        fetch_json(address, request, REPORT_LIMIT_BYTES, self.deadline()).await
+        fetch_json(address, request, MAX_RESPONSE_BYTES, self.deadline()).await
     }
 
     async fn cache_events(&self, address: SocketAddr, from: u64) -> PeerResult<CacheEventPage> {
         let request = self.get(address, format!("/events?from={from}"));
-        fetch_json(address, request, REPORT_LIMIT_BYTES, self.deadline()).await
+        fetch_json(address, request, MAX_RESPONSE_BYTES, self.deadline()).await
     }
 
     async fn order(&self, address: SocketAddr, order: EngineOrder) -> PeerResult<OrderOutcome> {
@@ -142,7 +143,7 @@
             .expect("a valid request");
         let deadline = self.deadline();
         let mut exchange = send(address, request, deadline).await?;
-        let body = exchange.read_all(REPORT_LIMIT_BYTES, deadline).await?;
+        let body = exchange.read_all(MAX_RESPONSE_BYTES, deadline).await?;
         let reply: OrderReply = serde_json::from_slice(&body)
             .map_err(|error| exchange.error(Step::Decode, error.into()))?;
         Ok(reply.outcome)
@@ -154,7 +155,8 @@
     address: SocketAddr,
     request: EngineRequest,
 ) -> PeerResult<Request<Full<Bytes>>> {
-    // The last level ends with the prompt, which is its own: its cache events would help nobody.
+    // The last level is the whole prompt, which other requests rarely share: its cache events would
+    // be of no use.
     let shared_levels = request.prefix_levels.len().saturating_sub(1).max(1);
     let prefix_keys: Vec<String> = request
         .prefix_levels
@@ -182,7 +184,7 @@
 
 async fn refusal(exchange: &mut Exchange, deadline: Instant) -> PeerError {
     let status = exchange.status;
-    let body = exchange.read_all(REPORT_LIMIT_BYTES, deadline).await.unwrap_or_default();
+    let body = exchange.read_all(MAX_RESPONSE_BYTES, deadline).await.unwrap_or_default();
     let text = String::from_utf8_lossy(&body).into_owned();
     exchange.refusal(anyhow::anyhow!("status {status}: {text}"))
 }
@@ -191,7 +193,7 @@
     headers.get(name)?.to_str().ok()?.parse().ok()
 }
 
-fn header_report(headers: &HeaderMap) -> Option<LoadReport> {
+fn load_report_header(headers: &HeaderMap) -> Option<LoadReport> {
     serde_json::from_slice(headers.get("x-load")?.as_bytes()).ok()
 }
 
@@ -230,7 +232,7 @@
         match self.events.next().await {
             Some(Ok(event)) => Ok(event),
             Some(Err(error)) => Err(self.error(Step::ReadBody, anyhow::anyhow!("{error}"))),
-            None => Err(self.error(Step::ReadBody, anyhow::anyhow!("stream was cut"))),
+            None => Err(self.error(Step::ReadBody, anyhow::anyhow!("the stream was cut off"))),
         }
     }
 
@@ -239,7 +241,7 @@
         if event.data == DONE {
             return Ok(());
         }
-        Err(self.error(Step::Decode, anyhow::anyhow!("stream goes on after its usage")))
+        Err(self.error(Step::Decode, anyhow::anyhow!("the stream continues after its usage")))
     }
 
     fn decode(&self, event: &Event) -> PeerResult<EngineFrame> {
--- a/src/adapters/plain_service.rs
+++ b/src/adapters/plain_service.rs
@@ -1,4 +1,4 @@
-//! Plain services over HTTP.
+//! Client of plain services over HTTP.
 
 use super::http_client::send;
 use crate::ports::{PlainService, ServiceCall, ServiceResponse};
@@ -13,13 +13,13 @@
 /// Client of plain services.
 #[derive(Clone, Debug)]
 pub struct HttpPlainService {
-    answer_limit_bytes: usize,
+    max_response_bytes: usize,
 }
 
 impl HttpPlainService {
-    /// Returns a client that accepts answers of up to `answer_limit_bytes`.
-    pub fn new(answer_limit_bytes: usize) -> Self {
-        Self { answer_limit_bytes }
+    /// Returns a client that accepts response bodies of up to `max_response_bytes`.
+    pub fn new(max_response_bytes: usize) -> Self {
+        Self { max_response_bytes }
     }
 }
 
@@ -43,7 +43,7 @@
         let host = address.to_string().parse().expect("an address is a header value");
         request.headers_mut().insert("host", host);
         let mut exchange = send(address, request, deadline).await?;
-        let body = exchange.read_all(self.answer_limit_bytes, deadline).await?;
+        let body = exchange.read_all(self.max_response_bytes, deadline).await?;
         Ok(ServiceResponse { status: exchange.status, headers: exchange.headers, body })
     }
 }
