--- a/src/adapters/http_server.rs
+++ b/src/adapters/http_server.rs
@@ -74,8 +74,8 @@
 
 /// Accepts connections until `drain` closes, after which open connections finish their requests.
 ///
-/// Connections are tasks on `executor`. The reference to it is weak, so dropping the executor closes
-/// them. A connection keeps the limits that were in force when it was opened.
+/// Connections are tasks on `executor`. The reference to it is weak, so dropping the executor
+/// closes them. A connection keeps the limits that were in force when it was opened.
 pub async fn serve(
     listener: TcpListener,
     executor: Weak<Executor<'static>>,
