--- a/src/document/check.rs
+++ b/src/document/check.rs
@@ -1,4 +1,4 @@
-//! Checks a raw document and turns it into the checked form; reports every fault with its path.
+//! Conversion of a raw document into the checked form, with a fault for each invalid value.
 
 use super::check_owners::{check_administrators, check_owner};
 use super::is_key_hash;
@@ -14,8 +14,8 @@
 use std::net::{Ipv4Addr, SocketAddr};
 use std::ops::RangeInclusive;
 
-/// Range of the time for which a node may use its share of the power without the log.
-const POWER_LEASE_S: RangeInclusive<u32> = 60..=3_600;
+/// Valid range of `power_lease_s`.
+const POWER_LEASE_RANGE_S: RangeInclusive<u32> = 60..=3_600;
 
 impl TryFrom<RawDocument> for Document {
     type Error = Faults;
@@ -45,7 +45,7 @@
         }
         check_administrators(&document, &mut faults);
         document.site = check_site(raw.site, &mut faults);
-        check_power(&document, &mut faults);
+        check_power_budget(&document, &mut faults);
         faults.into_result(document)
     }
 }
@@ -102,13 +102,13 @@
 }
 
 fn check_model(path: &str, raw: RawModel, faults: &mut Faults) -> Model {
-    let rates = [
+    let positive_fields = [
         ("prefill_tokens_per_s", raw.prefill_tokens_per_s),
         ("decode_tokens_per_s", raw.decode_tokens_per_s),
         ("import_tokens_per_s", raw.import_tokens_per_s),
         ("least_servers", raw.least_servers),
     ];
-    for (name, value) in rates {
+    for (name, value) in positive_fields {
         faults.require(value > 0, format!("{path}.{name}"), "must be above 0");
     }
     faults.require(
@@ -160,12 +160,14 @@
         .non_idempotent
         .into_iter()
         .enumerate()
-        .map(|(index, raw)| check_pattern(&format!("{path}.non_idempotent[{index}]"), raw, faults))
+        .map(|(index, raw)| {
+            check_call_pattern(&format!("{path}.non_idempotent[{index}]"), raw, faults)
+        })
         .collect();
     Service { servers, non_idempotent, timeout_ms: raw.timeout_ms }
 }
 
-fn check_pattern(path: &str, raw: RawCallPattern, faults: &mut Faults) -> CallPattern {
+fn check_call_pattern(path: &str, raw: RawCallPattern, faults: &mut Faults) -> CallPattern {
     let is_method =
         !raw.method.is_empty() && raw.method.bytes().all(|byte| byte.is_ascii_uppercase());
     faults.require(is_method, format!("{path}.method"), "must be a method in upper case");
@@ -179,9 +181,9 @@
 
 fn check_site(raw: RawSite, faults: &mut Faults) -> Site {
     faults.require(
-        POWER_LEASE_S.contains(&raw.power_lease_s),
+        POWER_LEASE_RANGE_S.contains(&raw.power_lease_s),
         "site.power_lease_s",
-        format!("must be from {} to {}", POWER_LEASE_S.start(), POWER_LEASE_S.end()),
+        format!("must be from {} to {}", POWER_LEASE_RANGE_S.start(), POWER_LEASE_RANGE_S.end()),
     );
     let zone_links = raw
         .zone_links
@@ -196,7 +198,7 @@
     }
 }
 
-fn check_power(document: &Document, faults: &mut Faults) {
+fn check_power_budget(document: &Document, faults: &mut Faults) {
     if document.servers.is_empty() {
         return;
     }
@@ -210,6 +212,7 @@
     );
 }
 
+/// Checks the address of the server at `path`.
 fn check_address(path: &str, raw: &str, faults: &mut Faults) -> SocketAddr {
     raw.parse().unwrap_or_else(|_| {
         faults.add(format!("{path}.address"), format!("`{raw}` is not an ip:port address"));
--- a/src/document/check_owners.rs
+++ b/src/document/check_owners.rs
@@ -1,4 +1,4 @@
-//! Checks the owners of sections.
+//! Checks of the owners in a raw document.
 
 use super::check::check_key_hashes;
 use super::raw::RawOwner;
@@ -6,19 +6,19 @@
 use crate::types::Faults;
 use smol_str::SmolStr;
 
-/// Section that only administrators edit.
+/// Prefix of the section paths that only administrators may edit.
 const OWNERS_PREFIX: &str = "owners";
 
 pub(super) fn check_owner(path: &str, raw: RawOwner, faults: &mut Faults) -> Owner {
     check_key_hashes(path, &raw.key_hashes, faults);
-    let lists_sections = !raw.sections.is_empty();
+    let has_sections = !raw.sections.is_empty();
     let sections_path = format!("{path}.sections");
     match raw.role {
         OwnerRole::Editor => {
-            faults.require(lists_sections, sections_path, "an editor must name its sections");
+            faults.require(has_sections, sections_path, "an editor must name its sections");
         }
         OwnerRole::Reader | OwnerRole::Administrator => {
-            faults.require(!lists_sections, sections_path, "only an editor names sections");
+            faults.require(!has_sections, sections_path, "only an editor names sections");
         }
     }
     let sections = raw
@@ -26,7 +26,7 @@
         .iter()
         .enumerate()
         .map(|(index, pattern)| {
-            check_pattern(&format!("{path}.sections[{index}]"), pattern, faults)
+            check_section_pattern(&format!("{path}.sections[{index}]"), pattern, faults)
         })
         .collect();
     Owner { key_hashes: raw.key_hashes, role: raw.role, sections }
@@ -44,15 +44,15 @@
     );
 }
 
-fn check_pattern(path: &str, raw: &SmolStr, faults: &mut Faults) -> SectionPattern {
+fn check_section_pattern(path: &str, raw: &SmolStr, faults: &mut Faults) -> SectionPattern {
     let prefix = raw.strip_suffix('*');
-    let text = prefix.unwrap_or(raw);
-    faults.require(!text.contains('*'), path, "may have a * at its end only");
-    let is_section =
-        text == "site" || text.split_once('/').is_some_and(|(kind, _)| !kind.is_empty());
+    let path_or_prefix = prefix.unwrap_or(raw);
+    faults.require(!path_or_prefix.contains('*'), path, "may have a * at its end only");
+    let is_section = path_or_prefix == "site"
+        || path_or_prefix.split_once('/').is_some_and(|(kind, _)| !kind.is_empty());
     faults.require(is_section, path, "must be a section path such as workspaces/survey");
     faults.require(
-        !text.starts_with(OWNERS_PREFIX),
+        !path_or_prefix.starts_with(OWNERS_PREFIX),
         path,
         "owners are edited by administrators only",
     );
--- a/src/document/mod.rs
+++ b/src/document/mod.rs
@@ -1,4 +1,4 @@
-//! The operators' configuration document: the checked form that every node works from.
+//! Configuration document of the operators, in the checked form that nodes use.
 
 pub mod check;
 mod check_owners;
@@ -19,7 +19,7 @@
 /// Checked configuration document.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Document {
-    /// Offset of the last record folded in.
+    /// Offset of the last log record that the document includes.
     pub offset: LogOffset,
     /// Workspaces by name.
     pub workspaces: BTreeMap<WorkspaceId, Workspace>,
@@ -29,128 +29,128 @@
     pub servers: BTreeMap<ServerId, BackendServer>,
     /// Plain services by name.
     pub services: BTreeMap<ServiceId, Service>,
-    /// Site: power and nodes.
+    /// Site-wide settings.
     pub site: Site,
     /// Owners of sections by name.
     pub owners: BTreeMap<OwnerId, Owner>,
 }
 
-/// Workspace of a team.
+/// Workspace of a team, with its API keys and limits.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Workspace {
-    /// SHA-256 of each bearer key, in lower-case hexadecimal.
+    /// SHA-256 of each API key, in lower-case hexadecimal.
     pub key_hashes: Vec<SmolStr>,
-    /// Requests a second over all nodes.
+    /// Maximum requests per second over all nodes.
     pub requests_per_s: u32,
-    /// Requests under way at once over all nodes.
+    /// Maximum number of concurrent requests over all nodes.
     pub concurrent_requests: u32,
-    /// Prompt and completion tokens a second over all nodes.
+    /// Maximum prompt and completion tokens per second over all nodes.
     pub tokens_per_s: u64,
-    /// Priority of requests that name none.
+    /// Priority of requests that do not set one.
     pub default_priority: Priority,
-    /// Highest priority that a request may name.
+    /// Highest priority that a request may set.
     pub highest_priority: Priority,
     /// Weights of the routing score.
     pub score: ScoreWeights,
 }
 
-/// Weights of the routing score; each is a factor on expected seconds.
+/// Weights of the routing score; each is a factor of an expected time in seconds.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ScoreWeights {
-    /// Weight of the expected time to the first token.
+    /// Weight of the expected time to first token.
     pub first_token: f64,
-    /// Weight of the time the engine spends on recomputation.
+    /// Weight of the time that an engine spends on prefilling uncached tokens.
     pub recomputation: f64,
-    /// Weight of the delay of links between availability zones.
+    /// Weight of the network delay between availability zones.
     pub zone_link: f64,
 }
 
 /// Model that workspaces may call.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Model {
-    /// Version of the weights in force.
+    /// Version of the weights that servers must load.
     pub weights_version: WeightsVersion,
-    /// Adapters of the model.
+    /// Adapters that servers load with the model.
     pub adapters: Vec<ModelId>,
-    /// Prompt tokens that a server computes a second.
+    /// Prompt tokens that a server prefills per second.
     pub prefill_tokens_per_s: u32,
-    /// Tokens that a server generates a second for one request.
+    /// Tokens that a server generates per second for one request.
     pub decode_tokens_per_s: u32,
-    /// Tokens of kept KV cache that a server imports a second.
+    /// Tokens of stored KV cache that a server imports per second.
     pub import_tokens_per_s: u32,
-    /// Least number of servers that serve the model.
+    /// Minimum number of servers that serve the model.
     pub least_servers: u32,
 }
 
 /// Backend server that runs models.
 #[derive(Clone, Debug, PartialEq)]
 pub struct BackendServer {
-    /// Address.
+    /// Address of the server.
     pub address: SocketAddr,
-    /// Availability zone.
+    /// Availability zone of the server.
     pub availability_zone: AvailabilityZone,
-    /// Whether the server refuses an order with an old fencing number.
+    /// Whether the server rejects orders with an outdated fencing number.
     pub checks_fencing: bool,
-    /// Requests that the server runs at once.
+    /// Maximum number of requests that the server runs concurrently.
     pub concurrent_requests: u32,
-    /// Models that fit on the server at once.
+    /// Maximum number of models that the server can have loaded at the same time.
     pub model_slots: u32,
-    /// Draw without work.
+    /// Power draw without requests.
     pub idle_watts: u32,
-    /// Additional draw of each running request.
+    /// Additional power draw of each running request.
     pub request_watts: u32,
 }
 
-/// Plain service beside the model engines.
+/// Plain service, which the site offers besides models.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Service {
     /// Servers of the service.
     pub servers: Vec<ServiceServer>,
-    /// Calls that may not be repeated.
+    /// Calls that must not be repeated.
     pub non_idempotent: Vec<CallPattern>,
-    /// Milliseconds that a call may take.
+    /// Timeout of a call in milliseconds.
     pub timeout_ms: u64,
 }
 
 /// Server of a plain service.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ServiceServer {
-    /// Name.
+    /// Name of the server.
     pub name: ServerId,
-    /// Address.
+    /// Address of the server.
     pub address: SocketAddr,
-    /// Availability zone.
+    /// Availability zone of the server.
     pub availability_zone: AvailabilityZone,
 }
 
-/// Calls of a method below a path.
+/// Pattern that matches the calls with a method and a path prefix.
 #[derive(Clone, Debug, PartialEq)]
 pub struct CallPattern {
     /// Method in upper case.
     pub method: SmolStr,
-    /// Prefix of the path.
+    /// Prefix of the call's path.
     pub path_prefix: SmolStr,
 }
 
-/// Site: power budget, bound on nodes and delays between availability zones.
+/// Site-wide settings: power budget, number of nodes and delays between availability zones.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Site {
-    /// Highest draw of all backend servers together.
+    /// Maximum power draw of all backend servers together.
     pub budget_watts: u32,
-    /// Largest number of nodes that may run at once.
+    /// Maximum number of nodes that run at the same time.
     pub max_nodes: u32,
     /// Delays between availability zones.
     pub zone_links: Vec<ZoneLink>,
-    /// Milliseconds for which a node may use its share of the power without the log.
+    /// Milliseconds for which a node may use its share of the power budget without reaching the log.
     pub power_lease_ms: u64,
 }
 
-/// One-way delay between two availability zones, the same in both directions.
+/// Network link between two availability zones; its delay is the same in both directions.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ZoneLink {
-    /// One end.
+    /// First availability zone.
     pub from: AvailabilityZone,
-    /// Other end.
+    /// Second availability zone.
     pub to: AvailabilityZone,
     /// One-way delay in microseconds.
     pub delay_us: u32,
--- a/src/document/owner.rs
+++ b/src/document/owner.rs
@@ -1,4 +1,4 @@
-//! Owners of document sections and what they may do.
+//! Owners of document sections, their roles and API keys.
 
 use crate::types::SectionPath;
 use schemars::JsonSchema;
@@ -8,10 +8,10 @@
 use std::fmt::Write;
 use strum::{Display, EnumString, IntoStaticStr};
 
-/// Length of a SHA-256 in hexadecimal.
+/// Length of a SHA-256 in hexadecimal digits.
 const KEY_HASH_CHARS: usize = 64;
 
-/// What an owner may do; each role includes the ones before it.
+/// Role of an owner; each role includes the permissions of the ones before it.
 #[derive(
     Clone,
     Copy,
@@ -34,16 +34,16 @@
     Reader,
     /// Edits its own sections.
     Editor,
-    /// Edits every section, owners among them.
+    /// Edits every section, including the owners.
     Administrator,
 }
 
 /// Team or person that reads or edits the document.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Owner {
-    /// SHA-256 of each bearer key, in lower-case hexadecimal.
+    /// SHA-256 of each API key, in lower-case hexadecimal.
     pub key_hashes: Vec<SmolStr>,
-    /// Role.
+    /// Role of the owner.
     pub role: OwnerRole,
     /// Sections that an editor may edit.
     pub sections: Vec<SectionPattern>,
@@ -52,14 +52,14 @@
 /// Pattern of section paths.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum SectionPattern {
-    /// One section.
+    /// The section with this path.
     Exact(SectionPath),
-    /// Every section whose path starts so.
+    /// Every section whose path starts with this prefix.
     Prefix(SectionPath),
 }
 
 impl SectionPattern {
-    /// Whether `section` matches.
+    /// Whether the path `section` matches the pattern.
     pub fn matches(&self, section: &str) -> bool {
         match self {
             Self::Exact(path) => path == section,
@@ -79,7 +79,7 @@
     }
 }
 
-/// Returns the SHA-256 of a bearer key in lower-case hexadecimal.
+/// Returns the SHA-256 of an API key in lower-case hexadecimal.
 pub fn hash_key(key: &str) -> SmolStr {
     let digest = Sha256::digest(key.as_bytes());
     let mut text = String::with_capacity(digest.len() * 2);
--- a/src/document/raw.rs
+++ b/src/document/raw.rs
@@ -1,4 +1,4 @@
-//! Raw form of the configuration document, as operators write it in JSON.
+//! JSON form of the configuration document, as operators write it, before it is checked.
 
 use super::OwnerRole;
 use crate::types::{
@@ -21,7 +21,7 @@
     pub servers: BTreeMap<ServerId, RawServer>,
     /// Plain services by name.
     pub services: BTreeMap<ServiceId, RawService>,
-    /// Site.
+    /// Site-wide settings.
     pub site: RawSite,
     /// Owners of sections by name.
     pub owners: BTreeMap<OwnerId, RawOwner>,
@@ -31,31 +31,31 @@
 #[derive(Clone, Debug, Deserialize, JsonSchema, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct RawOwner {
-    /// SHA-256 of each bearer key, in lower-case hexadecimal.
+    /// SHA-256 of each API key, in lower-case hexadecimal.
     pub key_hashes: Vec<SmolStr>,
-    /// What the owner may do.
+    /// Role, which determines what the owner may do.
     pub role: OwnerRole,
-    /// Sections that an editor may edit: paths such as `workspaces/survey`, or `workspaces/survey*`
-    /// for all that start so.
+    /// Sections that an editor may edit: paths such as `workspaces/survey`, or prefixes such as
+    /// `workspaces/survey*`.
     #[serde(default)]
     pub sections: Vec<SmolStr>,
 }
 
-/// Workspace of a team.
+/// Workspace of a team, with its API keys and limits.
 #[derive(Clone, Debug, Deserialize, JsonSchema, PartialEq, Serialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct RawWorkspace {
-    /// SHA-256 of each bearer key, in lower-case hexadecimal.
+    /// SHA-256 of each API key, in lower-case hexadecimal.
     pub key_hashes: Vec<SmolStr>,
-    /// Requests a second over all nodes.
+    /// Maximum requests per second over all nodes.
     pub requests_per_s: u32,
-    /// Requests under way at once over all nodes.
+    /// Maximum number of concurrent requests over all nodes.
     pub concurrent_requests: u32,
-    /// Prompt and completion tokens a second over all nodes.
+    /// Maximum prompt and completion tokens per second over all nodes.
     pub tokens_per_s: u64,
-    /// Priority of requests that name none.
+    /// Priority of requests that do not set one.
     pub default_priority: Priority,
-    /// Highest priority that a request may name.
+    /// Highest priority that a request may set.
     pub highest_priority: Priority,
     /// Weights of the routing score.
     pub score: RawScoreWeights,
@@ -75,15 +75,15 @@
     }
 }
 
-/// Weights of the routing score.
+/// Weights of the routing score; each is a factor of an expected time in seconds.
 #[derive(Clone, Copy, Debug, Deserialize, JsonSchema, PartialEq, Serialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct RawScoreWeights {
-    /// Weight of the expected time to the first token.
+    /// Weight of the expected time to first token.
     pub first_token: f64,
-    /// Weight of the time the engine spends on recomputation.
+    /// Weight of the time that an engine spends on prefilling uncached tokens.
     pub recomputation: f64,
-    /// Weight of the delay of links between availability zones.
+    /// Weight of the network delay between availability zones.
     pub zone_link: f64,
 }
 
@@ -97,17 +97,17 @@
 #[derive(Clone, Debug, Deserialize, JsonSchema, PartialEq, Serialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct RawModel {
-    /// Version of the weights in force.
+    /// Version of the weights that servers must load.
     pub weights_version: WeightsVersion,
-    /// Adapters of the model.
+    /// Adapters that servers load with the model.
     pub adapters: Vec<ModelId>,
-    /// Prompt tokens that a server computes a second.
+    /// Prompt tokens that a server prefills per second.
     pub prefill_tokens_per_s: u32,
-    /// Tokens that a server generates a second for one request.
+    /// Tokens that a server generates per second for one request.
     pub decode_tokens_per_s: u32,
-    /// Tokens of kept KV cache that a server imports a second.
+    /// Tokens of stored KV cache that a server imports per second.
     pub import_tokens_per_s: u32,
-    /// Least number of servers that serve the model.
+    /// Minimum number of servers that serve the model.
     pub least_servers: u32,
 }
 
@@ -128,21 +128,21 @@
 #[derive(Clone, Debug, Deserialize, JsonSchema, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct RawServer {
-    /// Address as `ip:port`.
+    /// Address of the server as `ip:port`.
     pub address: SmolStr,
-    /// Availability zone.
+    /// Availability zone of the server.
     pub availability_zone: AvailabilityZone,
-    /// Whether the server refuses an order with an old fencing number.
+    /// Whether the server rejects orders with an outdated fencing number.
     #[serde(default)]
     pub checks_fencing: bool,
-    /// Requests that the server runs at once.
+    /// Maximum number of requests that the server runs concurrently.
     pub concurrent_requests: u32,
-    /// Models that fit on the server at once.
+    /// Maximum number of models that the server can have loaded at the same time.
     #[serde(default = "default_model_slots")]
     pub model_slots: u32,
-    /// Draw without work.
+    /// Power draw without requests.
     pub idle_watts: u32,
-    /// Additional draw of each running request.
+    /// Additional power draw of each running request.
     pub request_watts: u32,
 }
 
@@ -150,16 +150,16 @@
     1
 }
 
-/// Plain service beside the model engines.
+/// Plain service, which the site offers besides models.
 #[derive(Clone, Debug, Deserialize, JsonSchema, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct RawService {
     /// Servers of the service by name.
     pub servers: BTreeMap<ServerId, RawServiceServer>,
-    /// Calls that may not be repeated.
+    /// Calls that must not be repeated.
     #[serde(default)]
     pub non_idempotent: Vec<RawCallPattern>,
-    /// Milliseconds that a call may take.
+    /// Timeout of a call in milliseconds.
     #[serde(default = "default_service_timeout_ms")]
     pub timeout_ms: u64,
 }
@@ -172,33 +172,33 @@
 #[derive(Clone, Debug, Deserialize, JsonSchema, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct RawServiceServer {
-    /// Address as `ip:port`.
+    /// Address of the server as `ip:port`.
     pub address: SmolStr,
-    /// Availability zone.
+    /// Availability zone of the server.
     pub availability_zone: AvailabilityZone,
 }
 
-/// Calls of a method below a path.
+/// Pattern that matches the calls with a method and a path prefix.
 #[derive(Clone, Debug, Deserialize, JsonSchema, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct RawCallPattern {
     /// Method in upper case.
     pub method: SmolStr,
-    /// Prefix of the path.
+    /// Prefix of the call's path.
     pub path_prefix: SmolStr,
 }
 
-/// Site: power budget, bound on nodes and delays between availability zones.
+/// Site-wide settings: power budget, number of nodes and delays between availability zones.
 #[derive(Clone, Debug, Deserialize, JsonSchema, PartialEq, Serialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct RawSite {
-    /// Highest draw of all backend servers together.
+    /// Maximum power draw of all backend servers together.
     pub budget_watts: u32,
-    /// Largest number of nodes that may run at once.
+    /// Maximum number of nodes that run at the same time.
     pub max_nodes: u32,
     /// Delays between availability zones.
     pub zone_links: Vec<RawZoneLink>,
-    /// Seconds for which a node may use its share of the power without the log.
+    /// Seconds for which a node may use its share of the power budget without reaching the log.
     pub power_lease_s: u32,
 }
 
@@ -208,13 +208,13 @@
     }
 }
 
-/// One-way delay between two availability zones, the same in both directions.
+/// Network link between two availability zones; its delay is the same in both directions.
 #[derive(Clone, Debug, Deserialize, JsonSchema, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct RawZoneLink {
-    /// One end.
+    /// First availability zone.
     pub from: AvailabilityZone,
-    /// Other end.
+    /// Second availability zone.
     pub to: AvailabilityZone,
     /// One-way delay in microseconds.
     pub delay_us: u32,
--- a/src/types/error.rs
+++ b/src/types/error.rs
@@ -1,10 +1,10 @@
-//! Error of an exchange with a peer: the step, the peer, and whether the request was delivered.
+//! Error of an exchange with a peer, with the failed step and whether the peer may have acted.
 
 use smol_str::SmolStr;
 use std::fmt;
 use strum::{Display, IntoStaticStr};
 
-/// The deadline of an exchange passed.
+/// Error for a deadline that passed.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct DeadlinePassed;
 
@@ -19,7 +19,7 @@
 /// Result of an exchange with a peer.
 pub type PeerResult<T> = Result<T, PeerError>;
 
-/// Step of an exchange at which an error arose.
+/// Step of an exchange with a peer.
 #[derive(Clone, Copy, Debug, Display, Eq, IntoStaticStr, PartialEq)]
 #[strum(serialize_all = "snake_case")]
 pub enum Step {
@@ -31,13 +31,13 @@
     ReadHead,
     /// Reading the body or the stream.
     ReadBody,
-    /// Decoding what was read.
+    /// Decoding the response.
     Decode,
-    /// The peer answered with a refusal.
+    /// The peer refused the request.
     Refused,
 }
 
-/// What the sender knows about the delivery of a failed request.
+/// Whether a failed request may have reached the peer.
 #[derive(Clone, Copy, Debug, Display, Eq, IntoStaticStr, PartialEq)]
 #[strum(serialize_all = "snake_case")]
 pub enum Delivery {
@@ -45,18 +45,18 @@
     NotSent,
     /// The peer may have acted on the request.
     Unknown,
-    /// The peer refused the request and says that it did not act.
+    /// The peer refused the request and stated that it did not act on it.
     Refused,
 }
 
 /// Error of an exchange with a peer.
 #[derive(Debug)]
 pub struct PeerError {
-    /// Step at which the exchange failed.
+    /// Step that failed.
     pub step: Step,
     /// Address or name of the peer.
     pub peer: SmolStr,
-    /// What is known about the delivery of the request.
+    /// Whether the request may have reached the peer.
     pub delivery: Delivery,
     /// Underlying error.
     pub source: anyhow::Error,
@@ -73,12 +73,12 @@
         Self { step, peer: peer.into(), delivery, source: source.into() }
     }
 
-    /// Returns whether the peer closed or broke the connection after the request was sent.
+    /// Whether the connection was lost after the request was sent.
     pub fn is_disconnect(&self) -> bool {
         matches!(self.step, Step::ReadHead | Step::ReadBody) && !self.source.is::<DeadlinePassed>()
     }
 
-    /// Returns whether the peer answered that nothing listens at its address.
+    /// Whether the connection was refused because nothing listens at the peer's address.
     pub fn is_connection_refused(&self) -> bool {
         let error = self.source.downcast_ref::<std::io::Error>();
         error.is_some_and(|error| error.kind() == std::io::ErrorKind::ConnectionRefused)
--- a/src/types/faults.rs
+++ b/src/types/faults.rs
@@ -1,19 +1,19 @@
-//! Faults found while raw input is checked, each with its path in the input.
+//! Faults found while settings or documents are checked, each with its path in the input.
 
 use serde::de::DeserializeOwned;
 use smol_str::SmolStr;
 use std::fmt;
 
-/// One fault in an input.
+/// Fault in an input.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Fault {
-    /// Path of the faulty value, such as `workspaces.survey.requests_per_s`.
+    /// Path of the invalid value, such as `workspaces.survey.requests_per_s`.
     pub path: SmolStr,
     /// What is wrong with it.
     pub message: String,
 }
 
-/// All faults found in an input, in the order in which they were found.
+/// All faults of an input, in the order in which they were found.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct Faults(pub Vec<Fault>);
 
@@ -23,19 +23,19 @@
         self.0.push(Fault { path: path.into(), message: message.into() });
     }
 
-    /// Adds `message` at `path` unless `holds`.
-    pub fn require(&mut self, holds: bool, path: impl Into<SmolStr>, message: impl Into<String>) {
-        if !holds {
+    /// Adds a fault at `path` if `valid` is false.
+    pub fn require(&mut self, valid: bool, path: impl Into<SmolStr>, message: impl Into<String>) {
+        if !valid {
             self.add(path, message);
         }
     }
 
-    /// Reads JSON and adds a fault for each field that is not known, so that one does not hide the
-    /// next or a wrong value.
+    /// Decodes JSON and adds a fault for each unknown field, so that all unknown fields and invalid
+    /// values are reported together.
     ///
     /// # Errors
     ///
-    /// The text is no JSON, or a value has the wrong type.
+    /// The text is not valid JSON, or a value has the wrong type.
     pub fn read_json<T: DeserializeOwned>(&mut self, text: &str) -> serde_json::Result<T> {
         let mut json = serde_json::Deserializer::from_str(text);
         let value = serde_ignored::deserialize(&mut json, |path| {
@@ -45,13 +45,13 @@
         Ok(value)
     }
 
-    /// Returns a checked part, or adds its faults with `path` before theirs.
-    pub fn collect_faults<T>(&mut self, path: &str, part: Result<T, Self>) -> Option<T> {
-        match part {
-            Ok(part) => Some(part),
-            Err(Self(found)) => {
-                let found = found.into_iter();
-                found.for_each(|fault| self.add(format!("{path}{}", fault.path), fault.message));
+    /// Returns the value of `result`, or adds its faults with `prefix` before their paths.
+    pub fn collect_faults<T>(&mut self, prefix: &str, result: Result<T, Self>) -> Option<T> {
+        match result {
+            Ok(value) => Some(value),
+            Err(Self(faults)) => {
+                let faults = faults.into_iter();
+                faults.for_each(|fault| self.add(format!("{prefix}{}", fault.path), fault.message));
                 None
             }
         }
@@ -62,7 +62,7 @@
         self.into_checked(Some(value))
     }
 
-    /// Returns `value` if it is there and no fault was found.
+    /// Returns `value` if there is one and no fault was found.
     pub fn into_checked<T>(self, value: Option<T>) -> Result<T, Self> {
         match value {
             Some(value) if self.0.is_empty() => Ok(value),
--- a/src/types/ids.rs
+++ b/src/types/ids.rs
@@ -1,16 +1,16 @@
-//! Aliases for the ids that the parts exchange.
+//! Aliases for ids, names and offsets.
 
 use smol_str::SmolStr;
 
 /// Name of an availability zone.
 pub type AvailabilityZone = SmolStr;
-/// Id of a configuration edit, chosen by its author; finds an edit whose answer was lost.
+/// Id of a configuration edit, chosen by its author to look the edit up if the answer is lost.
 pub type EditId = SmolStr;
-/// Idempotency key that a caller gives with a non-idempotent request.
+/// Idempotency key that a caller sends with a non-idempotent request.
 pub type IdempotencyKey = SmolStr;
-/// Number that a backend server changes whenever it comes back empty.
+/// Number that a backend server changes whenever it restarts with an empty cache.
 pub type Incarnation = u64;
-/// Id of one run of a node process; a restarted node has a new one.
+/// Id of a node process; a restarted node has a new one.
 pub type InstanceId = SmolStr;
 /// Offset of a record on the platform's log.
 pub type LogOffset = u64;
@@ -30,9 +30,9 @@
 pub type ServerId = SmolStr;
 /// Name of a plain service.
 pub type ServiceId = SmolStr;
-/// Revision of a model's weights as an operator names it; higher is newer.
+/// Revision of a model's weights, set by an operator; higher is newer.
 pub type WeightsRevision = u64;
-/// Version of a model's weights.
+/// Name of a version of a model's weights.
 pub type WeightsVersion = SmolStr;
 /// Name of a workspace.
 pub type WorkspaceId = SmolStr;
--- a/src/types/mod.rs
+++ b/src/types/mod.rs
@@ -1,4 +1,4 @@
-//! Types shared by all parts: ids, priorities and the error of an exchange with a peer.
+//! Types that all modules share: ids, request priority, configuration faults and peer errors.
 
 pub mod error;
 pub mod faults;
--- a/src/types/priority.rs
+++ b/src/types/priority.rs
@@ -4,7 +4,7 @@
 use serde::{Deserialize, Serialize};
 use strum::{Display, EnumIter, EnumString, IntoStaticStr};
 
-/// Priority of a request; later variants are served first and shed last.
+/// Priority of a request, in ascending order; higher priorities are served first and shed last.
 #[derive(
     Clone,
     Copy,
@@ -26,11 +26,11 @@
 #[serde(rename_all = "snake_case")]
 #[strum(serialize_all = "snake_case")]
 pub enum Priority {
-    /// Work that nobody waits for.
+    /// Background work whose result nobody waits for.
     Batch,
-    /// Ordinary work.
+    /// Default priority.
     #[default]
     Normal,
-    /// A person waits for the answer.
+    /// Work for a person who waits for the answer.
     Interactive,
 }
