--- a/src/settings/check.rs
+++ b/src/settings/check.rs
@@ -1,4 +1,4 @@
-//! Checks raw settings and reports every fault with its path in the file.
+//! Conversion of raw settings into the checked form, with a fault for each invalid value.
 
 use super::raw::{RawClaimsSettings, RawListenSettings, RawPlatformSettings, RawSettings};
 use super::{ListenSettings, PlatformSettings, Settings};
@@ -8,11 +8,11 @@
 use crate::types::Faults;
 use std::net::{Ipv4Addr, SocketAddr};
 
-/// Least length of the partner key in bytes.
-const LEAST_PARTNER_KEY_BYTES: usize = 16;
+/// Minimum length of the partner key.
+const MIN_PARTNER_KEY_BYTES: usize = 16;
 
-/// Most traffic threads of a node.
-const MOST_TRAFFIC_THREADS: usize = 64;
+/// Maximum number of traffic threads of a node.
+const MAX_TRAFFIC_THREADS: usize = 64;
 
 impl TryFrom<RawSettings> for Settings {
     type Error = Faults;
@@ -21,9 +21,9 @@
         let mut faults = Faults::default();
         check_identity(&raw.instance_name, &raw.availability_zone, &raw.partner_key, &mut faults);
         faults.require(
-            (1..=MOST_TRAFFIC_THREADS).contains(&raw.traffic_threads),
+            (1..=MAX_TRAFFIC_THREADS).contains(&raw.traffic_threads),
             "traffic_threads",
-            format!("must be from 1 to {MOST_TRAFFIC_THREADS}"),
+            format!("must be from 1 to {MAX_TRAFFIC_THREADS}"),
         );
         faults.require(
             raw.bootstrap_key_hash.as_ref().is_none_or(|hash| is_key_hash(hash)),
@@ -87,7 +87,7 @@
     claims
 }
 
-/// Checks how a node names itself and its partners know it.
+/// Checks the settings with which a node identifies itself to its partners.
 pub fn check_identity(
     instance_name: &str,
     availability_zone: &str,
@@ -97,13 +97,13 @@
     faults.require(!instance_name.is_empty(), "instance_name", "must not be empty");
     faults.require(!availability_zone.is_empty(), "availability_zone", "must not be empty");
     faults.require(
-        partner_key.len() >= LEAST_PARTNER_KEY_BYTES,
+        partner_key.len() >= MIN_PARTNER_KEY_BYTES,
         "partner_key",
-        format!("must have at least {LEAST_PARTNER_KEY_BYTES} bytes"),
+        format!("must have at least {MIN_PARTNER_KEY_BYTES} bytes"),
     );
 }
 
-/// Returns the address, or reports a fault at `path`.
+/// Returns the address, or adds a fault at `path` and returns a placeholder.
 pub fn check_address(path: &str, raw: &str, faults: &mut Faults) -> SocketAddr {
     raw.parse().unwrap_or_else(|_| {
         faults.add(path, format!("`{raw}` is not an ip:port address"));
--- a/src/settings/control.rs
+++ b/src/settings/control.rs
@@ -1,10 +1,10 @@
-//! Periods and budgets of the control thread.
+//! Settings of the control thread: periods and bandwidth.
 
 use crate::types::Faults;
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
 
-/// Periods of the control thread's exchanges.
+/// Periods and bandwidth of the control thread.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, JsonSchema, PartialEq, Serialize)]
 #[serde(default)]
 #[schemars(deny_unknown_fields)]
@@ -13,16 +13,16 @@
     pub log_period_ms: u64,
     /// Milliseconds between reads of the instance list.
     pub instance_list_period_ms: u64,
-    /// Milliseconds between load reports of a server in use.
+    /// Milliseconds between load reports of a server that is in use.
     pub load_period_ms: u64,
-    /// Milliseconds that an exchange with the platform may take.
+    /// Timeout of an exchange with the platform in milliseconds.
     pub exchange_timeout_ms: u64,
-    /// Milliseconds after which the configuration is republished; below a quarter of the time for
-    /// which the log keeps records.
+    /// Milliseconds after which the configuration is republished; less than a quarter of the time
+    /// for which the log retains records.
     pub snapshot_period_ms: u64,
-    /// Bytes a second for load reports and cache events.
+    /// Bytes per second for polling load reports and cache events.
     pub poll_bytes_per_s: u32,
-    /// Bytes a second for partner links.
+    /// Bytes per second for partner links.
     pub link_bytes_per_s: u32,
 }
 
@@ -41,9 +41,9 @@
 }
 
 impl ControlSettings {
-    /// Adds the faults of these settings to `faults`.
+    /// Adds a fault for each invalid setting.
     pub fn check(&self, faults: &mut Faults) {
-        let periods = [
+        let positive_settings = [
             ("control.log_period_ms", self.log_period_ms),
             ("control.instance_list_period_ms", self.instance_list_period_ms),
             ("control.load_period_ms", self.load_period_ms),
@@ -52,7 +52,7 @@
             ("control.poll_bytes_per_s", u64::from(self.poll_bytes_per_s)),
             ("control.link_bytes_per_s", u64::from(self.link_bytes_per_s)),
         ];
-        for (path, value) in periods {
+        for (path, value) in positive_settings {
             faults.require(value > 0, path, "must be above 0");
         }
     }
--- a/src/settings/limits.rs
+++ b/src/settings/limits.rs
@@ -1,4 +1,4 @@
-//! Limits on callers' requests.
+//! Settings of the limits on callers' requests.
 
 use crate::types::Faults;
 use schemars::JsonSchema;
@@ -9,21 +9,21 @@
 #[serde(default)]
 #[schemars(deny_unknown_fields)]
 pub struct LimitSettings {
-    /// Bytes of a request's head.
+    /// Maximum bytes of a request's head.
     pub head_bytes: usize,
-    /// Bytes of a request's body.
+    /// Maximum bytes of a request's body.
     pub body_bytes: usize,
-    /// Bytes of an answer.
+    /// Maximum bytes of an answer.
     pub answer_bytes: usize,
-    /// Milliseconds that a caller may take to send a request's head or body.
+    /// Milliseconds in which a caller must send a request's head or body.
     pub read_timeout_ms: u64,
-    /// Milliseconds that a model request may take as a whole.
+    /// Timeout of a whole model request in milliseconds.
     pub request_timeout_ms: u64,
-    /// Milliseconds without a frame after which an attempt is given up.
+    /// Milliseconds without a frame after which an attempt fails.
     pub frame_timeout_ms: u64,
-    /// Milliseconds for which a draining node still accepts calls after readiness has gone.
+    /// Milliseconds for which a draining node accepts requests after it stopped reporting ready.
     pub drain_grace_ms: u64,
-    /// Milliseconds that a draining node waits for running requests.
+    /// Milliseconds for which a draining node waits for running requests.
     pub drain_timeout_ms: u64,
 }
 
@@ -43,24 +43,24 @@
 }
 
 impl LimitSettings {
-    /// Adds the faults of these settings to `faults`.
+    /// Adds a fault for each invalid setting.
     pub fn check(&self, faults: &mut Faults) {
-        let sizes = [
+        let sizes_bytes = [
             ("limits.head_bytes", self.head_bytes),
             ("limits.body_bytes", self.body_bytes),
             ("limits.answer_bytes", self.answer_bytes),
         ];
-        for (path, bytes) in sizes {
+        for (path, bytes) in sizes_bytes {
             faults.require(bytes >= 1024, path, "must be at least 1024");
         }
-        let times = [
+        let timeouts_ms = [
             ("limits.read_timeout_ms", self.read_timeout_ms),
             ("limits.request_timeout_ms", self.request_timeout_ms),
             ("limits.frame_timeout_ms", self.frame_timeout_ms),
             ("limits.drain_timeout_ms", self.drain_timeout_ms),
         ];
-        for (path, period_ms) in times {
-            faults.require(period_ms > 0, path, "must be above 0");
+        for (path, timeout_ms) in timeouts_ms {
+            faults.require(timeout_ms > 0, path, "must be above 0");
         }
         faults.require(
             self.drain_timeout_ms >= self.request_timeout_ms,
--- a/src/settings/mod.rs
+++ b/src/settings/mod.rs
@@ -1,4 +1,4 @@
-//! Settings of a node: the raw form read from a JSON file and the checked form.
+//! Settings of a node: the raw form, as in the JSON settings file, and the checked form.
 
 pub mod check;
 pub mod control;
@@ -24,34 +24,34 @@
     pub instance_name: SmolStr,
     /// Availability zone of the instance.
     pub availability_zone: AvailabilityZone,
-    /// Addresses that the node listens on.
+    /// Addresses of the node's listeners.
     pub listen: ListenSettings,
     /// Addresses of the platform's services.
     pub platform: PlatformSettings,
-    /// Key shared by all nodes, which authenticates partner links.
+    /// Key that all nodes share to authenticate partner links.
     pub partner_key: SmolStr,
-    /// SHA-256 of the administrator key that counts while the document names no owner.
+    /// SHA-256 of an API key that acts as administrator while the document has no owners.
     pub bootstrap_key_hash: Option<SmolStr>,
     /// Routing policy.
     pub routing_policy: RoutingPolicy,
-    /// Limits on calls.
+    /// Limits on requests of callers.
     pub limits: LimitSettings,
-    /// Threads that serve traffic.
+    /// Number of threads that serve callers.
     pub traffic_threads: usize,
-    /// Periods of the control thread's exchanges.
+    /// Periods and bandwidth of the control thread.
     pub control: ControlSettings,
-    /// Claims of idempotency keys.
+    /// Settings of the claims of idempotency keys.
     pub claims: ClaimsSettings,
 }
 
-/// Addresses that a node listens on; port 0 takes a free one.
+/// Addresses of a node's listeners; port 0 selects a free port.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct ListenSettings {
-    /// Callers' listener.
+    /// Listener for callers.
     pub callers: SocketAddr,
-    /// Administration API's listener.
+    /// Listener for the administration API.
     pub admin: SocketAddr,
-    /// Partner links' listener.
+    /// Listener for partner links.
     pub partners: SocketAddr,
 }
 
@@ -62,21 +62,21 @@
     pub log: SocketAddr,
     /// Instance list.
     pub instance_list: SocketAddr,
-    /// Store of kept KV cache, where the site has one.
+    /// Store of saved KV cache, `None` if the site has none.
     pub kv_store: Option<SocketAddr>,
 }
 
 impl Settings {
-    /// Reads and checks the settings file at `path`; the error names every fault.
+    /// Reads and checks the settings file at `path`; the error names all faults.
     pub fn load(path: &Path) -> anyhow::Result<Self> {
         load_file(path, Self::parse)
     }
 
-    /// Reads and checks settings in JSON.
+    /// Decodes and checks settings in JSON.
     ///
     /// # Errors
     ///
-    /// All faults found, unknown fields and wrong values together.
+    /// The text is not valid JSON, or the error names all unknown fields and invalid values.
     pub fn parse(text: &str) -> anyhow::Result<Self> {
         let mut faults = Faults::default();
         let raw: RawSettings = faults.read_json(text)?;
@@ -85,11 +85,11 @@
     }
 }
 
-/// Reads the settings file at `path` and checks it with `parse`.
+/// Reads the settings file at `path` and decodes it with `parse`.
 ///
 /// # Errors
 ///
-/// A file that cannot be read, or what `parse` found.
+/// The file cannot be read, or `parse` fails.
 pub fn load_file<T>(
     path: &Path,
     parse: impl FnOnce(&str) -> anyhow::Result<T>,
--- a/src/settings/raw.rs
+++ b/src/settings/raw.rs
@@ -1,4 +1,4 @@
-//! Raw form of the settings file.
+//! JSON form of the settings file, before it is checked.
 
 use super::{ControlSettings, LimitSettings};
 use crate::decision::claims::ClaimsSettings;
@@ -16,23 +16,23 @@
     pub instance_name: SmolStr,
     /// Availability zone of the instance.
     pub availability_zone: AvailabilityZone,
-    /// Addresses that the node listens on.
+    /// Addresses of the node's listeners.
     pub listen: RawListenSettings,
     /// Addresses of the platform's services.
     pub platform: RawPlatformSettings,
-    /// Key shared by all nodes, which authenticates partner links.
+    /// Key that all nodes share to authenticate partner links.
     pub partner_key: SmolStr,
-    /// SHA-256 of the administrator key that counts while the document names no owner.
+    /// SHA-256 of an API key that acts as administrator while the document has no owners.
     pub bootstrap_key_hash: Option<SmolStr>,
     /// Routing policy.
     pub routing_policy: SmolStr,
-    /// Limits on calls.
+    /// Limits on requests of callers.
     pub limits: LimitSettings,
-    /// Threads that serve traffic.
+    /// Number of threads that serve callers.
     pub traffic_threads: usize,
-    /// Periods of the control thread's exchanges.
+    /// Periods and bandwidth of the control thread.
     pub control: ControlSettings,
-    /// Claims of idempotency keys.
+    /// Settings of the claims of idempotency keys.
     pub claims: RawClaimsSettings,
 }
 
@@ -54,16 +54,16 @@
     }
 }
 
-/// Addresses that a node listens on, as `ip:port`; port 0 takes a free one.
+/// Addresses of a node's listeners, as `ip:port`; port 0 selects a free port.
 #[derive(Clone, Debug, Deserialize, JsonSchema, PartialEq, Serialize)]
 #[serde(default)]
 #[schemars(deny_unknown_fields)]
 pub struct RawListenSettings {
-    /// Callers' listener.
+    /// Listener for callers.
     pub callers: SmolStr,
-    /// Administration API's listener.
+    /// Listener for the administration API.
     pub admin: SmolStr,
-    /// Partner links' listener.
+    /// Listener for partner links.
     pub partners: SmolStr,
 }
 
@@ -86,22 +86,22 @@
     pub log: SmolStr,
     /// Instance list.
     pub instance_list: SmolStr,
-    /// Store of kept KV cache, where the site has one.
+    /// Store of saved KV cache, if the site has one.
     pub kv_store: Option<SmolStr>,
 }
 
-/// Claims of idempotency keys; the same on all nodes.
+/// Settings of the claims of idempotency keys; they must be the same on all nodes.
 #[derive(Clone, Debug, Deserialize, JsonSchema, PartialEq, Serialize)]
 #[serde(default)]
 #[schemars(deny_unknown_fields)]
 pub struct RawClaimsSettings {
-    /// Milliseconds after its first use, or after the time that it carries, for which a key holds.
+    /// Milliseconds for which a key is valid after its first use, or after the time in the key.
     pub key_age_ms: u64,
-    /// Largest difference in milliseconds between the clocks of callers and of the log.
+    /// Maximum difference in milliseconds between the clocks of callers and the log's clock.
     pub clock_skew_ms: u64,
-    /// Milliseconds for which the log is known to keep records.
+    /// Minimum milliseconds for which the log retains records.
     pub log_retention_ms: u64,
-    /// Appends a second to the stream of claims, over all nodes.
+    /// Maximum appends per second to the claims stream, over all nodes.
     pub appends_per_s: u32,
 }
 
