--- a/src/adapters/connection_pool.rs
+++ b/src/adapters/connection_pool.rs
@@ -106,7 +106,7 @@
     /// Closes idle connections that have expired or that the server has closed.
     pub fn close_expired(&self, now: Instant) {
         self.lock().retain(|_, idle| {
-            idle.retain(|entry| now < entry.usable_until && !entry.connection.sender.is_closed());
+            idle.retain(|conn| now < conn.usable_until && !conn.connection.sender.is_closed());
             !idle.is_empty()
         });
     }
--- a/src/document/check.rs
+++ b/src/document/check.rs
@@ -160,14 +160,12 @@
         .non_idempotent
         .into_iter()
         .enumerate()
-        .map(|(index, raw)| {
-            check_call_pattern(&format!("{path}.non_idempotent[{index}]"), raw, faults)
-        })
+        .map(|(index, raw)| check_call(&format!("{path}.non_idempotent[{index}]"), raw, faults))
         .collect();
     Service { servers, non_idempotent, timeout_ms: raw.timeout_ms }
 }
 
-fn check_call_pattern(path: &str, raw: RawCallPattern, faults: &mut Faults) -> CallPattern {
+fn check_call(path: &str, raw: RawCallPattern, faults: &mut Faults) -> CallPattern {
     let is_method =
         !raw.method.is_empty() && raw.method.bytes().all(|byte| byte.is_ascii_uppercase());
     faults.require(is_method, format!("{path}.method"), "must be a method in upper case");
