--- a/src/adapters/deadline.rs
+++ b/src/adapters/deadline.rs
@@ -1,4 +1,4 @@
-//! Bounds a future by a deadline.
+//! Deadline for a future.
 
 use crate::types::DeadlinePassed;
 use futures_lite::FutureExt;
@@ -6,8 +6,8 @@
 use std::future::Future;
 use std::time::Instant;
 
-/// Returns the output of `future`, or an error once `deadline` has passed.
-pub async fn within<T>(
+/// Returns the output of `future`, or an error if it is not ready at `deadline`.
+pub async fn timeout_at<T>(
     deadline: Instant,
     future: impl Future<Output = T>,
 ) -> Result<T, DeadlinePassed> {
--- a/src/control/poll_tasks.rs
+++ b/src/control/poll_tasks.rs
@@ -51,7 +51,7 @@
 /// Queries the KV store once for the tokens stored under each of `keys`.
 pub async fn query_stored_prefixes(context: ControlContext, keys: Vec<u64>) {
     let Some(kv_store) = &context.kv_store else { return };
-    match kv_store.kept_tokens(&keys).await {
+    match kv_store.stored_tokens(&keys).await {
         Ok(tokens) => {
             let pairs = keys.into_iter().zip(tokens);
             let prefixes = pairs.map(|(key, tokens)| StoredPrefix { key, tokens }).collect();
--- a/src/traffic/generation.rs
+++ b/src/traffic/generation.rs
@@ -6,7 +6,7 @@
 use super::shed_signals::ShedSignal;
 use super::suspect_gate::{SuspectPermit, route_suspect};
 use super::{Failure, FailureCode, TrafficContext};
-use crate::adapters::deadline::within;
+use crate::adapters::deadline::timeout_at;
 use crate::control::{Snapshot, TrafficReport};
 use crate::decision::frame_order::{FrameAction, FrameOrder, FramePosition};
 use crate::decision::poison::Suspicion;
@@ -337,7 +337,7 @@
             self.frame_order.next_frame(),
         );
         self.excluded.push(server.clone());
-        let suspicion = if error.is_cut() {
+        let suspicion = if error.is_disconnect() {
             self.suspicion_after_cut(server, incarnation).await
         } else {
             Suspicion::None
@@ -376,7 +376,7 @@
         if self.suspect_permit.is_some() {
             return;
         }
-        let permit = within(self.request.deadline, self.context.suspects.acquire()).await;
+        let permit = timeout_at(self.request.deadline, self.context.suspects.acquire()).await;
         self.suspect_permit = permit.ok();
     }
 
