--- a/src/relay/control/state.rs
+++ b/src/relay/control/state.rs
@@ -6,7 +6,7 @@
 use crate::decision::relay::{LoadExchange, ReadSchedule, Replica, StoreLink};
 use crate::links::Identity;
 use crate::relay::RelayContext;
-use crate::relay::suspend_clock::SuspendClock;
+use crate::relay::suspension_detector::SuspendClock;
 use crate::types::{InstanceId, ModelId, WeightsRevision};
 use async_channel::Receiver;
 use futures_lite::FutureExt;
--- a/src/relay/exchange.rs
+++ b/src/relay/exchange.rs
@@ -1,7 +1,7 @@
 //! One request of a caller, from its head to the answer.
 
-use super::answer::answer;
 use super::attempt::{self, Answer, AttemptEnd};
+use super::buffered_answer::answer;
 use super::refusal::{Refusal, RefusalReason};
 use super::request::{RelayedRequest, admit};
 use super::{RelayContext, stream};
--- a/src/relay/mod.rs
+++ b/src/relay/mod.rs
@@ -4,8 +4,8 @@
 //! Traffic runs on one thread and never waits for control. The control thread follows the records of
 //! the site's store, exchanges them with partners, and carries out rollouts of weights.
 
-pub mod answer;
 pub mod attempt;
+pub mod buffered_answer;
 pub mod context;
 pub mod control;
 pub mod exchange;
@@ -16,7 +16,7 @@
 pub mod run;
 pub mod settings;
 pub mod stream;
-pub mod suspend_clock;
+pub mod suspension_detector;
 
 pub use context::{RelayContext, RelayPorts};
 pub use node::RelayNode;
--- a/src/relay/stream.rs
+++ b/src/relay/stream.rs
@@ -2,8 +2,8 @@
 //! allows it.
 
 use super::RelayContext;
-use super::answer::keep;
 use super::attempt::{self, Answer, AttemptEnd, NotRunReason};
+use super::buffered_answer::keep;
 use super::exchange::{Attempts, choose};
 use super::metrics::AnswerLabels;
 use super::request::{RelayedRequest, end_to_end_headers};
