--- a/src/relay/attempt.rs
+++ b/src/relay/attempt.rs
@@ -1,7 +1,7 @@
 //! One attempt: a request at one server, up to the head of the answer.
 
 use super::RelayContext;
-use super::control::RelayEvent;
+use super::control::RelayControlEvent;
 use super::request::RelayedRequest;
 use crate::adapters::connection_pool::PooledExchange;
 use crate::decision::relay::server::{ServerLoad, UnreadTokens};
@@ -24,13 +24,13 @@
 const FULL_PERIOD: Duration = Duration::from_millis(120);
 
 /// Period in which a repeatable request looks whether its server has fallen silent.
-const SILENCE_CHECK_PERIOD: Duration = Duration::from_millis(100);
+const SERVER_CHECK_PERIOD: Duration = Duration::from_millis(100);
 
 /// Latency objectives after which an idempotent request is given to another server.
-const IDEMPOTENT_PATIENCE: u32 = 2;
+const SLOW_AFTER_OBJECTIVES: u32 = 2;
 
 /// How an attempt ended.
-pub enum AttemptEnd {
+pub enum AttemptOutcome {
     /// The server answered; the answer may say that it failed.
     Answered(Box<Answer>),
     /// The server did not run the request and never will.
@@ -60,22 +60,22 @@
     /// What the head says.
     pub facts: AnswerFacts,
     /// Place that the request takes at the server.
-    pub ticket: Ticket,
+    pub in_flight: InFlightAttempt,
 }
 
 /// Place that a request takes at a server, until it is dropped.
-pub struct Ticket {
+pub struct InFlightAttempt {
     context: Arc<RelayContext>,
     /// Server.
     pub server: ServerId,
     attempt: u64,
     load: ServerLoad,
-    is_read: bool,
+    is_prefilled: bool,
 }
 
-impl Ticket {
+impl InFlightAttempt {
     fn new(context: Arc<RelayContext>, request: &RelayedRequest, choice: &Choice) -> Self {
-        let attempt = context.next_attempt.fetch_add(1, Ordering::Relaxed);
+        let attempt = context.next_number.fetch_add(1, Ordering::Relaxed);
         let (server, load) = (choice.server.clone(), choice.load);
         let now = Instant::now();
         let mut fleet = context.fleet();
@@ -96,31 +96,31 @@
             }
         }
         drop(fleet);
-        Self { context, server, attempt, load, is_read: false }
+        Self { context, server, attempt, load, is_prefilled: false }
     }
 
     /// Takes in a sign of the server.
-    pub fn note_heard(&mut self) {
+    pub fn record_contact(&mut self) {
         let mut fleet = self.context.fleet();
         if let Some(server) = fleet.server_mut(&self.server) {
             server.health.record_contact(Instant::now());
         }
-        if !self.is_read {
-            self.is_read = true;
+        if !self.is_prefilled {
+            self.is_prefilled = true;
             fleet.finish_prefill(&self.server, self.attempt, self.load.unread_tokens);
             self.load.unread_tokens = UnreadTokens::default();
         }
     }
 
     /// Takes in whether the server did what it was asked, and how much later than expected.
-    pub fn note_outcome(&self, succeeded: bool, slower_by_ms: f64) {
+    pub fn record_outcome(&self, succeeded: bool, delay_ms: f64) {
         if let Some(server) = self.context.fleet().server_mut(&self.server) {
-            server.health.record_outcome(succeeded, slower_by_ms, Instant::now());
+            server.health.record_outcome(succeeded, delay_ms, Instant::now());
         }
     }
 }
 
-impl Drop for Ticket {
+impl Drop for InFlightAttempt {
     fn drop(&mut self) {
         self.context.fleet().end_request(&self.server, self.attempt, self.load);
     }
@@ -132,26 +132,26 @@
     request: &RelayedRequest,
     choice: &Choice,
     last_event_id: Option<SmolStr>,
-    is_last: bool,
-) -> AttemptEnd {
+    is_last_attempt: bool,
+) -> AttemptOutcome {
     let sent_at = Instant::now();
-    let mut ticket = Ticket::new(Arc::clone(context), request, choice);
+    let mut in_flight = InFlightAttempt::new(Arc::clone(context), request, choice);
     let outgoing = outgoing_request(context, request, choice, last_event_id, sent_at);
     let exchange = context.pool.send(&choice.server, choice.address, outgoing, request.deadline);
-    let sent = if request.route.retry_safety.is_retryable() && !is_last {
-        exchange.or(watch(context, request, &choice.server, sent_at)).await
+    let sent = if request.route.retry_safety.is_retryable() && !is_last_attempt {
+        exchange.or(watch_server(context, request, &choice.server, sent_at)).await
     } else {
         exchange.await
     };
     let exchange = match sent {
         Ok(exchange) => exchange,
-        Err(error) => return failed(context, request, choice, &ticket, error),
+        Err(error) => return handle_failure(context, request, choice, &in_flight, error),
     };
-    ticket.note_heard();
+    in_flight.record_contact();
     let facts = context.ports.dialect.read_answer(exchange.status, &exchange.headers);
-    learn_weights(context, request, choice, &facts);
+    update_weights(context, request, choice, &facts);
     if facts.is_not_run {
-        let reason = not_run(context, request, choice, exchange.status, &facts);
+        let reason = record_not_run(context, request, choice, exchange.status, &facts);
         log::info!(
             "event=not_run request={} server={} status={} reason={reason} weights={} believed={}",
             request.id,
@@ -160,22 +160,22 @@
             facts.weights.unwrap_or_default(),
             choice.prompt.as_ref().map_or(0, |prompt| prompt.weights)
         );
-        return AttemptEnd::NotRun(reason);
+        return AttemptOutcome::NotRun(reason);
     }
-    let first_ms = sent_at.elapsed().as_secs_f64() * 1_000.0;
+    let answer_ms = sent_at.elapsed().as_secs_f64() * 1_000.0;
     let succeeded = !exchange.status.is_server_error();
-    ticket.note_outcome(succeeded, first_ms - choice.expected_ms);
-    if let Some(error) = unusable(request, choice, exchange.status, &facts) {
-        ticket.note_outcome(false, 0.0);
-        return AttemptEnd::Unknown(error);
+    in_flight.record_outcome(succeeded, answer_ms - choice.expected_ms);
+    if let Some(error) = find_answer_fault(request, choice, exchange.status, &facts) {
+        in_flight.record_outcome(false, 0.0);
+        return AttemptOutcome::Unknown(error);
     }
     if succeeded
         && let Some(prompt) = choice.prompt.as_ref().filter(|prompt| prompt.save_to.is_some())
     {
         context.fleet().prefixes.add_stored(&prompt.keys, Instant::now());
-        context.tell_control(RelayEvent::Stored);
+        context.notify_control(RelayControlEvent::PrefixesStored);
     }
-    AttemptEnd::Answered(Box::new(Answer { exchange, facts, ticket }))
+    AttemptOutcome::Answered(Box::new(Answer { exchange, facts, in_flight }))
 }
 
 fn outgoing_request(
@@ -209,7 +209,7 @@
 }
 
 /// Ends when the server has fallen silent or takes longer than another one would.
-async fn watch<T>(
+async fn watch_server<T>(
     context: &RelayContext,
     request: &RelayedRequest,
     server: &ServerId,
@@ -218,10 +218,10 @@
     let objective = Duration::from_millis(request.route.latency_objective_ms.max(1));
     let is_stream = request.route.retry_safety.is_stream();
     loop {
-        Timer::after(SILENCE_CHECK_PERIOD).await;
+        Timer::after(SERVER_CHECK_PERIOD).await;
         let now = Instant::now();
         let is_silent = context.fleet().server(server).is_none_or(|s| s.is_silent(now));
-        let is_slow = !is_stream && now >= sent_at + objective * IDEMPOTENT_PATIENCE;
+        let is_slow = !is_stream && now >= sent_at + objective * SLOW_AFTER_OBJECTIVES;
         if is_silent || is_slow {
             let reason = if is_silent { "the server is silent" } else { "the server is slow" };
             let error = anyhow!(reason);
@@ -230,30 +230,30 @@
     }
 }
 
-fn failed(
+fn handle_failure(
     context: &RelayContext,
     request: &RelayedRequest,
     choice: &Choice,
-    ticket: &Ticket,
+    in_flight: &InFlightAttempt,
     error: PeerError,
-) -> AttemptEnd {
+) -> AttemptOutcome {
     let labels = ReasonLabels { reason: error.step.to_string() };
     context.metrics.server_failures.get_or_create(&labels).inc();
     log::info!("event=attempt_failed request={} route={} {error}", request.id, request.route.name);
     if error.delivery == Delivery::NotSent {
         if error.step == Step::Connect {
-            suspend(context, choice);
+            suspend_server(context, choice);
         }
-        return AttemptEnd::NotSent(error);
+        return AttemptOutcome::NotSent(error);
     }
-    ticket.note_outcome(false, 0.0);
+    in_flight.record_outcome(false, 0.0);
     if error.is_cut() {
-        note_cut(context, request, choice);
+        request_crash_check(context, request, choice);
     }
-    AttemptEnd::Unknown(error)
+    AttemptOutcome::Unknown(error)
 }
 
-fn suspend(context: &RelayContext, choice: &Choice) {
+fn suspend_server(context: &RelayContext, choice: &Choice) {
     context.pool.close_server(&choice.server);
     let now = Instant::now();
     let Some(until) = context
@@ -268,17 +268,17 @@
 }
 
 /// Has the control thread look whether the server crashed, and counts that against the request.
-pub fn note_cut(context: &RelayContext, request: &RelayedRequest, choice: &Choice) {
-    let run = context.fleet().server(&choice.server).and_then(|s| s.entry.started_unix_ms);
-    context.tell_control(RelayEvent::Cut {
+pub fn request_crash_check(context: &RelayContext, request: &RelayedRequest, choice: &Choice) {
+    let incarnation = context.fleet().server(&choice.server).and_then(|s| s.entry.started_unix_ms);
+    context.notify_control(RelayControlEvent::ExchangeCut {
         server: choice.server.clone(),
         address: choice.address,
-        run: run.unwrap_or_default(),
+        incarnation: incarnation.unwrap_or_default(),
         fingerprint: request.fingerprint,
     });
 }
 
-fn learn_weights(
+fn update_weights(
     context: &RelayContext,
     request: &RelayedRequest,
     choice: &Choice,
@@ -302,7 +302,7 @@
     facts.server.as_ref().is_some_and(|server| *server != choice.server)
 }
 
-fn not_run(
+fn record_not_run(
     context: &RelayContext,
     request: &RelayedRequest,
     choice: &Choice,
@@ -311,7 +311,7 @@
 ) -> NotRunReason {
     let now = Instant::now();
     if is_misdirected(choice, facts) {
-        suspend(context, choice);
+        suspend_server(context, choice);
         return NotRunReason::Misdirected;
     }
     if let Some(prompt) = &choice.prompt
@@ -332,7 +332,7 @@
 }
 
 /// Returns an error if the answer cannot be the server's answer to this request.
-fn unusable(
+fn find_answer_fault(
     request: &RelayedRequest,
     choice: &Choice,
     status: StatusCode,
--- a/src/relay/buffered_answer.rs
+++ b/src/relay/buffered_answer.rs
@@ -13,10 +13,10 @@
 use std::time::{Duration, Instant};
 
 /// Largest answer that is held in memory.
-const ANSWER_LIMIT_BYTES: usize = 4 * 1024 * 1024;
+const MAX_ANSWER_BYTES: usize = 4 * 1024 * 1024;
 
 /// Idle time after which a connection is not used again if its server names none.
-const DEFAULT_IDLE: Duration = Duration::from_millis(500);
+const DEFAULT_IDLE_PERIOD: Duration = Duration::from_millis(500);
 
 /// Time before a server closes an idle connection from which it is not used again.
 const IDLE_MARGIN: Duration = Duration::from_millis(300);
@@ -26,14 +26,14 @@
 /// # Errors
 ///
 /// The answer broke off.
-pub async fn answer(
+pub async fn forward_buffered(
     context: &RelayContext,
     request: &RelayedRequest,
     mut received: Answer,
 ) -> PeerResult<Reply> {
-    let read = received.exchange.read_all(ANSWER_LIMIT_BYTES, request.deadline).await;
+    let read = received.exchange.read_all(MAX_ANSWER_BYTES, request.deadline).await;
     let body = read.inspect_err(|error| {
-        received.ticket.note_outcome(false, 0.0);
+        received.in_flight.record_outcome(false, 0.0);
         log::info!("event=answer_broken request={} {error}", request.id);
     })?;
     let status = received.exchange.status;
@@ -46,25 +46,25 @@
         request.id,
         request.route.name,
         status.as_u16(),
-        received.ticket.server,
+        received.in_flight.server,
         request.age_ms()
     );
     context.metrics.observe_first_answer(&request.route.name, request.arrived_at);
-    stream::count(context, request, outcome);
-    let Answer { exchange, facts, ticket } = received;
-    keep(context, exchange, &facts);
-    drop(ticket);
+    stream::count_outcome(context, request, outcome);
+    let Answer { exchange, facts, in_flight } = received;
+    return_to_pool(context, exchange, &facts);
+    drop(in_flight);
     Ok(reply)
 }
 
 /// Keeps the connection of a complete answer for later requests.
-pub fn keep(context: &RelayContext, exchange: PooledExchange, facts: &AnswerFacts) {
+pub fn return_to_pool(context: &RelayContext, exchange: PooledExchange, facts: &AnswerFacts) {
     if facts.closes {
         return;
     }
     let idle = match facts.keep_alive_s {
         Some(seconds) => Duration::from_secs(seconds).saturating_sub(IDLE_MARGIN),
-        None => DEFAULT_IDLE,
+        None => DEFAULT_IDLE_PERIOD,
     };
     context.pool.keep(exchange, Instant::now() + idle);
 }
--- a/src/relay/context.rs
+++ b/src/relay/context.rs
@@ -1,6 +1,6 @@
 //! What the parts of a relay node share.
 
-use super::control::RelayEvent;
+use super::control::RelayControlEvent;
 use super::metrics::RelayMetrics;
 use super::settings::RelaySettings;
 use crate::adapters::connection_pool::ConnectionPool;
@@ -39,15 +39,15 @@
     /// Metrics.
     pub metrics: RelayMetrics,
     /// Way to the control thread.
-    pub control: Sender<RelayEvent>,
+    pub control_events: Sender<RelayControlEvent>,
     /// Whether the node stops.
     pub is_stopping: AtomicBool,
     /// Whether servers were listed once.
-    pub knows_servers: AtomicBool,
+    pub has_server_list: AtomicBool,
     pub(super) fleet: Mutex<Fleet>,
-    pub(super) budget: Mutex<ResendBudget>,
+    pub(super) resend_budget: Mutex<ResendBudget>,
     pub(super) poison: Mutex<PoisonState>,
-    pub(super) next_attempt: AtomicU64,
+    pub(super) next_number: AtomicU64,
 }
 
 impl RelayContext {
@@ -57,8 +57,8 @@
     }
 
     /// Locks the budget of resends.
-    pub fn budget(&self) -> MutexGuard<'_, ResendBudget> {
-        self.budget.lock().unwrap_or_else(PoisonError::into_inner)
+    pub fn resend_budget(&self) -> MutexGuard<'_, ResendBudget> {
+        self.resend_budget.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     /// Locks the strikes against requests that crash servers.
@@ -68,14 +68,14 @@
 
     /// Whether the node should get new connections.
     pub fn is_ready(&self) -> bool {
-        let knows_site =
-            self.configuration.load().is_some() && self.knows_servers.load(Ordering::Acquire);
-        knows_site && !self.is_stopping.load(Ordering::Acquire)
+        let is_configured =
+            self.configuration.load().is_some() && self.has_server_list.load(Ordering::Acquire);
+        is_configured && !self.is_stopping.load(Ordering::Acquire)
     }
 
     /// Tells the control thread of an event; one that it has no room for is dropped.
-    pub(super) fn tell_control(&self, event: RelayEvent) {
-        if self.control.try_send(event).is_err() {
+    pub(super) fn notify_control(&self, event: RelayControlEvent) {
+        if self.control_events.try_send(event).is_err() {
             log::warn!("event=control_event_dropped reason=queue_full");
         }
     }
--- a/src/relay/control/crashes.rs
+++ b/src/relay/control/crashes.rs
@@ -1,6 +1,6 @@
 //! Requests that crash servers: confirms crashes and shares the strikes with partners.
 
-use super::RelayEvent;
+use super::RelayControlEvent;
 use super::state::ControlState;
 use crate::decision::poison::{Fingerprint, Strike};
 use crate::links::PartnerMessage;
@@ -14,7 +14,7 @@
 use std::time::{Duration, Instant};
 
 /// Looks whether a server crashed.
-const CHECKS: u32 = 3;
+const MAX_CHECKS: u32 = 3;
 
 /// Time between two looks.
 const CHECK_PERIOD: Duration = Duration::from_millis(60);
@@ -28,11 +28,11 @@
         &self,
         server: ServerId,
         address: SocketAddr,
-        run: Incarnation,
+        incarnation: Incarnation,
         fingerprint: Fingerprint,
     ) {
-        let strike = Strike { fingerprint, server, incarnation: run };
-        self.spawn(confirm(Arc::clone(&self.context), strike, address));
+        let strike = Strike { fingerprint, server, incarnation };
+        self.spawn(confirm_crash(Arc::clone(&self.context), strike, address));
     }
 
     /// Adds strikes and passes new ones on.
@@ -43,8 +43,8 @@
         now: Instant,
     ) {
         let is_new = |strike: &Strike| self.context.poison().add(strike.clone(), now);
-        let news: Vec<Strike> = strikes.into_iter().filter(is_new).collect();
-        for strike in &news {
+        let new_strikes: Vec<Strike> = strikes.into_iter().filter(is_new).collect();
+        for strike in &new_strikes {
             log::warn!(
                 "event=strike fingerprint={:016x} server={} source={}",
                 strike.fingerprint,
@@ -52,19 +52,19 @@
                 source.map_or("own", |source| source.as_str())
             );
         }
-        if !news.is_empty() {
-            self.send_partners(source, &PartnerMessage::Strikes(news));
+        if !new_strikes.is_empty() {
+            self.broadcast(source, &PartnerMessage::Strikes(new_strikes));
         }
     }
 }
 
-async fn confirm(context: Arc<RelayContext>, strike: Strike, address: SocketAddr) {
-    for _ in 0..CHECKS {
+async fn confirm_crash(context: Arc<RelayContext>, strike: Strike, address: SocketAddr) {
+    for _ in 0..MAX_CHECKS {
         let deadline = Instant::now() + CHECK_TIMEOUT;
         let opened = crate::adapters::deadline::within(deadline, TcpStream::connect(address)).await;
         match opened {
             Ok(Err(error)) if error.kind() == ErrorKind::ConnectionRefused => {
-                context.tell_control(RelayEvent::Crashed(strike));
+                context.notify_control(RelayControlEvent::ServerCrashed(strike));
                 return;
             }
             Ok(Ok(_)) => return,
--- a/src/relay/control/loads.rs
+++ b/src/relay/control/loads.rs
@@ -20,7 +20,7 @@
         self.loads.queue_new_prefixes(&mut fleet);
         let peers: Vec<InstanceId> = self.loads.neighbours().cloned().collect();
         let mut messages = Vec::with_capacity(peers.len());
-        for peer in peers.into_iter().filter(|peer| self.partners.is_linked(peer)) {
+        for peer in peers.into_iter().filter(|peer| self.partners.has_link(peer)) {
             if let Some(load) = self.loads.next_message(&peer, &fleet, now) {
                 messages.push((peer, load));
             }
--- a/src/relay/control/mod.rs
+++ b/src/relay/control/mod.rs
@@ -29,18 +29,18 @@
 
 /// Event of the control thread.
 #[derive(Debug)]
-pub enum RelayEvent {
+pub enum RelayControlEvent {
     /// A topic was listed.
-    Listed {
+    TopicListed {
         /// Topic.
         topic: RecordTopic,
         /// Listing.
         listing: TopicListing,
         /// When the listing was asked for.
-        asked_at: Instant,
+        requested_at: Instant,
     },
     /// Records followed a known offset.
-    Records {
+    RecordsRead {
         /// Topic.
         topic: RecordTopic,
         /// Records.
@@ -51,7 +51,7 @@
         confirmed_at: Instant,
     },
     /// Nodes that announced themselves.
-    Announced(Vec<AnnouncedNode>),
+    NodesAnnounced(Vec<AnnouncedNode>),
     /// A link was opened and its peer authenticated.
     LinkOpened {
         /// Number of the link.
@@ -80,22 +80,22 @@
     /// A link could not be opened.
     DialFailed(SocketAddr),
     /// Prefixes were saved to the store of kept KV cache.
-    Stored,
+    PrefixesStored,
     /// A server broke off an exchange.
-    Cut {
+    ExchangeCut {
         /// Server.
         server: ServerId,
         /// Its address.
         address: SocketAddr,
         /// Run of the server.
-        run: Incarnation,
+        incarnation: Incarnation,
         /// Request that it had.
         fingerprint: Fingerprint,
     },
     /// A server crashed while it had a request.
-    Crashed(Strike),
+    ServerCrashed(Strike),
     /// A server reported its weights.
-    Reported {
+    ReportEnded {
         /// Model whose rollout asked.
         model: ModelId,
         /// Server.
@@ -104,7 +104,7 @@
         report: PeerResult<WeightsReport>,
     },
     /// A server answered an order.
-    Ordered {
+    OrderEnded {
         /// Model whose rollout ordered.
         model: ModelId,
         /// Server.
@@ -124,12 +124,12 @@
         outcome: PeerResult<Replacement>,
     },
     /// The store of kept KV cache answered, or not.
-    KvStore {
+    KvStoreChanged {
         /// Its address while it answers.
         address: Option<SocketAddr>,
         /// Whether what it kept is lost.
         is_emptied: bool,
     },
     /// The node stops.
-    Stop,
+    NodeStopping,
 }
--- a/src/relay/control/partners.rs
+++ b/src/relay/control/partners.rs
@@ -1,6 +1,6 @@
 //! Partner links of a relay node: records, loads, strikes and rollouts go over them.
 
-use super::RelayEvent;
+use super::RelayControlEvent;
 use super::records::RecordSource;
 use super::state::ControlState;
 use crate::decision::membership::{
@@ -29,7 +29,7 @@
 use strum::IntoEnumIterator;
 
 /// Messages that may wait for a link's connection.
-const LINK_QUEUE: usize = 64;
+const MAX_QUEUED_MESSAGES: usize = 64;
 
 /// Period in which a node tells its partners how recent its records are.
 const DIGEST_PERIOD: Duration = Duration::from_millis(300);
@@ -38,10 +38,10 @@
 const RECORDS_TIMEOUT: Duration = Duration::from_millis(200);
 
 /// Time to wait after a connection could not be accepted.
-const ACCEPT_RETRY: Duration = Duration::from_millis(50);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
 /// Bytes of keyed records in one message at most.
-const PART_BYTES: usize = MESSAGE_LIMIT_BYTES / 2;
+const MAX_DELTA_BYTES: usize = MESSAGE_LIMIT_BYTES / 2;
 
 /// Links and membership.
 pub(super) struct Partners {
@@ -51,13 +51,13 @@
     /// Live nodes, this one included.
     live: Vec<InstanceId>,
     /// Changes of the membership that are taken into account.
-    noted_changes: Option<u64>,
+    applied_changes: Option<u64>,
     /// Highest number of live nodes seen; the shares of a site's allowances go by it.
-    most_nodes: u32,
+    max_live_nodes: u32,
     next_digest_at: Instant,
-    are_topics_changed: bool,
+    has_new_records: bool,
     /// Offsets up to which records were requested, and until when they are waited for.
-    requested: BTreeMap<RecordTopic, (LogOffset, Instant)>,
+    pending_requests: BTreeMap<RecordTopic, (LogOffset, Instant)>,
 }
 
 impl Partners {
@@ -80,11 +80,11 @@
             identity: Rc::new(RefCell::new(identity)),
             links: LinkTable::default(),
             live: Vec::new(),
-            noted_changes: None,
-            most_nodes: 1,
+            applied_changes: None,
+            max_live_nodes: 1,
             next_digest_at: now,
-            are_topics_changed: false,
-            requested: BTreeMap::new(),
+            has_new_records: false,
+            pending_requests: BTreeMap::new(),
         }
     }
 
@@ -94,8 +94,8 @@
     }
 
     /// Returns the highest number of live nodes seen.
-    pub(super) fn most_nodes(&self) -> u32 {
-        self.most_nodes
+    pub(super) fn max_live_nodes(&self) -> u32 {
+        self.max_live_nodes
     }
 
     /// Returns the live members with this node, in the order of their ids.
@@ -112,7 +112,7 @@
     }
 
     /// Whether there is a link to a node.
-    pub(super) fn is_linked(&self, peer: &InstanceId) -> bool {
+    pub(super) fn has_link(&self, peer: &InstanceId) -> bool {
         self.links.get(peer).is_some()
     }
 
@@ -126,7 +126,7 @@
 
 impl ControlState {
     /// Sends a message to all partners but `source`.
-    pub(super) fn send_partners(&self, source: Option<&InstanceId>, message: &PartnerMessage) {
+    pub(super) fn broadcast(&self, source: Option<&InstanceId>, message: &PartnerMessage) {
         for peer in self.partners.links.peers().filter(|peer| Some(*peer) != source) {
             self.partners.send(peer, message);
         }
@@ -170,7 +170,7 @@
     }
 
     /// Takes in a message of a partner.
-    pub(super) fn receive(&mut self, number: u64, received: ReceivedMessage, now: Instant) {
+    pub(super) fn receive_message(&mut self, number: u64, received: ReceivedMessage, now: Instant) {
         let Some(peer) = self.partners.links.peer(number).cloned() else { return };
         self.advance_membership(MembershipEvent::MessageReceived(peer.clone()), now);
         let Some(message) = received.message else { return };
@@ -184,14 +184,14 @@
             PartnerMessage::Strikes(strikes) => self.add_strikes(Some(&peer), strikes, now),
             PartnerMessage::Topics(digests) => self.apply_digests(&peer, &digests, now),
             PartnerMessage::RecordsRequest(digest) => self.send_records(&peer, digest),
-            PartnerMessage::Records(part) => {
-                let source = match part.from {
+            PartnerMessage::Records(delta) => {
+                let source = match delta.from {
                     None => RecordSource::Copy(peer),
                     Some(_) => RecordSource::Partner(peer),
                 };
-                let news = self.replica.apply_delta(*part);
-                self.apply_news(&news, &source, now);
-                self.note_listed();
+                let updates = self.replica.apply_delta(*delta);
+                self.apply_updates(&updates, &source, now);
+                self.mark_servers_listed();
             }
             PartnerMessage::RelayLoad(load) => self.apply_load(&peer, &load, now),
             PartnerMessage::Rollout(notice) => self.receive_rollout_notice(&peer, notice, now),
@@ -214,7 +214,7 @@
     }
 
     /// Takes in that a link could not be opened.
-    pub(super) fn fail_dial(&mut self, address: SocketAddr, now: Instant) {
+    pub(super) fn handle_failed_dial(&mut self, address: SocketAddr, now: Instant) {
         self.advance_membership(MembershipEvent::DialFailed(address), now);
     }
 
@@ -226,24 +226,24 @@
     /// Does the periodic work.
     pub(super) fn tick_partners(&mut self, now: Instant) {
         self.advance_membership(MembershipEvent::Tick, now);
-        let is_changed = std::mem::take(&mut self.partners.are_topics_changed);
-        if is_changed || now >= self.partners.next_digest_at {
+        let is_digest_due = std::mem::take(&mut self.partners.has_new_records);
+        if is_digest_due || now >= self.partners.next_digest_at {
             self.partners.next_digest_at = now + DIGEST_PERIOD;
-            self.send_partners(None, &PartnerMessage::Topics(self.topic_digests(now)));
+            self.broadcast(None, &PartnerMessage::Topics(self.topic_digests(now)));
         }
     }
 
     /// Has partners told of newer records with the next tick.
-    pub(super) fn announce_topics(&mut self) {
-        self.partners.are_topics_changed = true;
+    pub(super) fn schedule_digest(&mut self) {
+        self.partners.has_new_records = true;
     }
 
     fn topic_digests(&self, now: Instant) -> Vec<TopicDigest> {
-        let watch = self.record_watch.borrow();
+        let schedule = self.read_schedule.borrow();
         let digest = |topic| TopicDigest {
             topic,
             known_below: self.replica.known_below(topic),
-            age_ms: watch
+            age_ms: schedule
                 .age(topic, now)
                 .map(|age| u64::try_from(age.as_millis()).unwrap_or(u64::MAX)),
         };
@@ -258,16 +258,16 @@
                 let confirmed_at =
                     age_ms.and_then(|age_ms| now.checked_sub(Duration::from_millis(age_ms)));
                 if let Some(confirmed_at) = confirmed_at.filter(|_| known_below == known) {
-                    self.record_watch.borrow_mut().confirm(topic, confirmed_at);
+                    self.read_schedule.borrow_mut().confirm(topic, confirmed_at);
                 }
                 continue;
             }
             let Some(offset) = known_below else { continue };
-            let requested = self.partners.requested.get(&topic);
-            if requested.is_some_and(|(below, until)| *below >= offset && now < *until) {
+            let pending = self.partners.pending_requests.get(&topic);
+            if pending.is_some_and(|(below, until)| *below >= offset && now < *until) {
                 continue;
             }
-            self.partners.requested.insert(topic, (offset, now + RECORDS_TIMEOUT));
+            self.partners.pending_requests.insert(topic, (offset, now + RECORDS_TIMEOUT));
             let request = TopicDigest { topic, known_below: known, age_ms: None };
             self.partners.send(peer, &PartnerMessage::RecordsRequest(request));
         }
@@ -275,25 +275,25 @@
 
     /// Sends a partner what it lacks, in parts that fit into messages.
     fn send_records(&self, peer: &InstanceId, digest: TopicDigest) {
-        let Some(mut part) = self.replica.delta(digest.topic, digest.known_below) else { return };
-        part.records.sort_by_key(|record| record.offset);
+        let Some(mut delta) = self.replica.delta(digest.topic, digest.known_below) else { return };
+        delta.records.sort_by_key(|record| record.offset);
         let size = |value: &Option<Bytes>| value.as_ref().map_or(0, Bytes::len);
-        let mut rest = std::mem::take(&mut part.records).into_iter().peekable();
+        let mut rest = std::mem::take(&mut delta.records).into_iter().peekable();
         loop {
-            let mut part = part.clone();
+            let mut delta = delta.clone();
             let mut bytes = 0;
             while let Some(record) =
-                rest.next_if(|next| bytes == 0 || bytes + size(&next.value) <= PART_BYTES)
+                rest.next_if(|next| bytes == 0 || bytes + size(&next.value) <= MAX_DELTA_BYTES)
             {
                 bytes += size(&record.value).max(1);
-                part.records.push(record);
+                delta.records.push(record);
             }
             let is_last = rest.peek().is_none();
             if !is_last {
                 // Only the last part makes the receiver's knowledge complete.
-                part.from = Some(u64::MAX);
+                delta.from = Some(u64::MAX);
             }
-            self.partners.send(peer, &PartnerMessage::Records(Box::new(part)));
+            self.partners.send(peer, &PartnerMessage::Records(Box::new(delta)));
             if is_last {
                 return;
             }
@@ -321,19 +321,19 @@
             }
         }
         self.partners.identity.borrow_mut().me = self.partners.membership.local_record().clone();
-        self.note_nodes();
+        self.apply_membership_changes();
     }
 
-    fn note_nodes(&mut self) {
+    fn apply_membership_changes(&mut self) {
         let links = i64::try_from(self.partners.links.peers().len()).unwrap_or(i64::MAX);
         self.context.metrics.links.set(links);
         let changes = Some(self.partners.membership.change_count());
-        if changes != self.partners.noted_changes {
-            self.partners.noted_changes = changes;
+        if changes != self.partners.applied_changes {
+            self.partners.applied_changes = changes;
             let live = self.partners.list_live();
             let topics: Vec<RecordTopic> = RecordTopic::iter().collect();
             let me = &self.partners.membership.local_record().instance;
-            self.record_watch.borrow_mut().set_nodes(me, &live, &topics);
+            self.read_schedule.borrow_mut().set_nodes(me, &live, &topics);
             self.partners.live = live;
             let place = self.partners.membership.tree_place();
             let is_tree = self.partners.membership.exceeds_full_mesh();
@@ -347,9 +347,9 @@
             }
         }
         let nodes = self.partners.membership.live_nodes();
-        if nodes > self.partners.most_nodes {
-            self.partners.most_nodes = nodes;
-            self.context.budget().set_nodes(nodes);
+        if nodes > self.partners.max_live_nodes {
+            self.partners.max_live_nodes = nodes;
+            self.context.resend_budget().set_nodes(nodes);
             if let Some(store) = &mut self.context.fleet().kv_store {
                 store.set_nodes(nodes, Instant::now());
             }
@@ -359,7 +359,7 @@
 }
 
 /// Accepts partner links without end.
-pub(super) async fn listen(
+pub(super) async fn accept_links(
     context: Arc<RelayContext>,
     identity: Rc<RefCell<Identity>>,
     listener: TcpListener,
@@ -385,7 +385,7 @@
                 }
                 Err(error) => {
                     log::warn!("event=link_accept_failed error=\"{error}\"");
-                    Timer::after(ACCEPT_RETRY).await;
+                    Timer::after(ACCEPT_RETRY_DELAY).await;
                 }
             }
         }
@@ -399,7 +399,7 @@
         Ok(link) => run_link(&context, link, true).await,
         Err(error) => {
             log::debug!("event=link_failed {error}");
-            if context.control.send(RelayEvent::DialFailed(address)).await.is_err() {
+            if context.control_events.send(RelayControlEvent::DialFailed(address)).await.is_err() {
                 log::debug!("event=control_stopped");
             }
         }
@@ -408,24 +408,25 @@
 
 /// Runs an open link until it ends.
 async fn run_link(context: &RelayContext, link: Link, dialed: bool) {
-    let number = context.next_attempt.fetch_add(1, Ordering::Relaxed);
+    let number = context.next_number.fetch_add(1, Ordering::Relaxed);
     let peer = link.peer().clone();
-    let (outgoing, outgoing_queue) = async_channel::bounded(LINK_QUEUE);
+    let (outgoing, outgoing_queue) = async_channel::bounded(MAX_QUEUED_MESSAGES);
     let (incoming, incoming_queue) = async_channel::bounded(1);
-    let events = &context.control;
-    let opened = RelayEvent::LinkOpened { link: number, peer, dialed, outgoing };
+    let events = &context.control_events;
+    let opened = RelayControlEvent::LinkOpened { link: number, peer, dialed, outgoing };
     if events.send(opened).await.is_err() {
         return;
     }
     let forward = async {
         while let Ok(message) = incoming_queue.recv().await {
-            if events.send(RelayEvent::LinkReceived { link: number, message }).await.is_err() {
+            if events.send(RelayControlEvent::LinkReceived { link: number, message }).await.is_err()
+            {
                 return;
             }
         }
     };
     let (end, ()) = futures_lite::future::zip(link.run(outgoing_queue, incoming), forward).await;
-    if events.send(RelayEvent::LinkEnded { link: number, end }).await.is_err() {
+    if events.send(RelayControlEvent::LinkEnded { link: number, end }).await.is_err() {
         log::debug!("event=control_stopped");
     }
 }
--- a/src/relay/control/records.rs
+++ b/src/relay/control/records.rs
@@ -35,7 +35,7 @@
 
 impl RecordSource {
     /// Whether the age of the record is unknown.
-    fn is_of_unknown_age(&self) -> bool {
+    fn is_age_unknown(&self) -> bool {
         matches!(self, Self::Listing | Self::Copy(_))
     }
 }
@@ -53,9 +53,9 @@
             listing.records.len(),
             listing.end
         );
-        let news = self.replica.apply_listing(topic, listing);
-        self.apply_news(&news, &RecordSource::Listing, now);
-        self.note_listed();
+        let updates = self.replica.apply_listing(topic, listing);
+        self.apply_updates(&updates, &RecordSource::Listing, now);
+        self.mark_servers_listed();
     }
 
     /// Takes in records that follow a known offset.
@@ -66,20 +66,25 @@
         next_offset: LogOffset,
         now: Instant,
     ) {
-        let news = self.replica.apply_records(topic, records, next_offset);
-        self.apply_news(&news, &RecordSource::Store, now);
+        let updates = self.replica.apply_records(topic, records, next_offset);
+        self.apply_updates(&updates, &RecordSource::Store, now);
     }
 
     /// Takes in whether servers were listed.
-    pub(super) fn note_listed(&self) {
+    pub(super) fn mark_servers_listed(&self) {
         if self.replica.known_below(RecordTopic::Servers).is_some() {
-            self.context.knows_servers.store(true, Ordering::Release);
+            self.context.has_server_list.store(true, Ordering::Release);
         }
     }
 
     /// Puts newer records in force.
-    pub(super) fn apply_news(&mut self, news: &[KeyedRecord], source: &RecordSource, now: Instant) {
-        for record in news {
+    pub(super) fn apply_updates(
+        &mut self,
+        updates: &[KeyedRecord],
+        source: &RecordSource,
+        now: Instant,
+    ) {
+        for record in updates {
             match (record.topic, &record.value) {
                 (RecordTopic::Operator, Some(value)) => {
                     self.apply_operator_record(record, value, source, now);
@@ -100,8 +105,8 @@
                 }
             }
         }
-        if !news.is_empty() {
-            self.announce_topics();
+        if !updates.is_empty() {
+            self.schedule_digest();
             let servers = self.context.fleet().servers().count();
             self.context.metrics.servers.set(i64::try_from(servers).unwrap_or(i64::MAX));
         }
@@ -117,17 +122,17 @@
         let KeyedRecord { key, offset, .. } = record;
         match self.context.ports.dialect.read_operator_record(key, value) {
             Ok(OperatorRecord::Configuration(configuration)) => {
-                self.put_in_force(*configuration, *offset, source);
+                self.apply_configuration(*configuration, *offset, source);
             }
             Ok(OperatorRecord::Weights { model, revision }) => {
                 let mut fleet = self.context.fleet();
-                let is_news = if source.is_of_unknown_age() {
+                let is_new_target = if source.is_age_unknown() {
                     fleet.set_target_of_unknown_age(model.clone(), revision, now)
                 } else {
                     fleet.set_target(model.clone(), revision, now)
                 };
                 drop(fleet);
-                if is_news {
+                if is_new_target {
                     log::info!(
                         "event=weights_named model={model} revision={revision} offset={offset} \
                          source={source}"
@@ -143,7 +148,7 @@
     }
 
     /// Puts a configuration in force unless a newer one is.
-    fn put_in_force(
+    fn apply_configuration(
         &mut self,
         configuration: Configuration,
         offset: LogOffset,
@@ -174,7 +179,7 @@
         if let Some(limits) = configuration.limits {
             self.context.caller_limits.store(Arc::new(server_limits(limits)));
         }
-        self.kv_store.set(configuration.kv_stores.first().map(|store| store.address));
+        self.kv_store_address.set(configuration.kv_stores.first().map(|store| store.address));
         self.context
             .metrics
             .configuration_revision
--- a/src/relay/control/rollout/lease.rs
+++ b/src/relay/control/rollout/lease.rs
@@ -2,7 +2,7 @@
 
 use crate::decision::relay::register_lease::RegisterRecord;
 use crate::ports::Replacement;
-use crate::relay::control::RelayEvent;
+use crate::relay::control::RelayControlEvent;
 use crate::relay::control::state::ControlState;
 use crate::types::{InstanceId, PeerResult};
 use std::sync::Arc;
@@ -10,28 +10,28 @@
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 /// Time without a notice after which another node takes over.
-const COORDINATOR_SILENCE: Duration = Duration::from_millis(900);
+const MAX_COORDINATOR_SILENCE: Duration = Duration::from_millis(900);
 
 /// Time by which nodes that would coordinate start one after the other.
-const CANDIDATE_STEP: Duration = Duration::from_millis(250);
+const CANDIDATE_STAGGER: Duration = Duration::from_millis(250);
 
 /// Wait before the register is tried again.
-const REGISTER_RETRY: Duration = Duration::from_millis(300);
+const REGISTER_RETRY_DELAY: Duration = Duration::from_millis(300);
 
 /// Time after which a call to the register counts as lost.
 const REGISTER_TIMEOUT: Duration = Duration::from_secs(2);
 
 impl ControlState {
     /// Takes the lease if it is this node's turn.
-    pub(super) fn try_lease(&mut self, now: Instant) {
+    pub(super) fn try_acquire_lease(&mut self, now: Instant) {
         let Some(needed_since) = self.rollout.needed_since else { return };
-        let own_turn_at = needed_since + CANDIDATE_STEP * self.candidate_rank();
-        let silent_at = self.rollout.last_notice_at.map(|at| at + COORDINATOR_SILENCE);
+        let own_turn_at = needed_since + CANDIDATE_STAGGER * self.candidate_rank();
+        let silent_at = self.rollout.last_notice_at.map(|at| at + MAX_COORDINATOR_SILENCE);
         if now < own_turn_at || silent_at.is_some_and(|at| now < at) {
             return;
         }
-        let is_busy = self.rollout.register_busy_until.is_some_and(|until| now < until);
-        if is_busy || now < self.rollout.next_register_at {
+        let is_call_pending = self.rollout.register_call_until.is_some_and(|until| now < until);
+        if is_call_pending || now < self.rollout.next_register_call_at {
             return;
         }
         if self.rollout.lease.known().is_none() {
@@ -48,51 +48,52 @@
             return 0;
         }
         let seed = self.targets.values().sum();
-        let rank = |instance: &InstanceId| xxh3_64_with_seed(instance.as_bytes(), seed);
-        let own = rank(&self.rollout.instance);
+        let hash = |instance: &InstanceId| xxh3_64_with_seed(instance.as_bytes(), seed);
+        let own_hash = hash(&self.rollout.instance);
         let live = self.partners.live_instances();
-        let earlier = live.iter().filter(|instance| rank(instance) < own).count();
+        let earlier = live.iter().filter(|instance| hash(instance) < own_hash).count();
         let last_is_live = self.rollout.last_coordinator.as_ref().is_some_and(|c| live.contains(c));
         u32::try_from(earlier + usize::from(last_is_live)).unwrap_or(u32::MAX)
     }
 
     fn read_register(&mut self, now: Instant) {
-        self.rollout.register_busy_until = Some(now + REGISTER_TIMEOUT);
-        self.rollout.next_register_at = now + REGISTER_RETRY;
+        self.rollout.register_call_until = Some(now + REGISTER_TIMEOUT);
+        self.rollout.next_register_call_at = now + REGISTER_RETRY_DELAY;
         let context = Arc::clone(&self.context);
         self.spawn(async move {
             let read = context.ports.store.read_register().await;
-            context.tell_control(RelayEvent::RegisterRead(read));
+            context.notify_control(RelayControlEvent::RegisterRead(read));
         });
     }
 
     pub(super) fn replace_register(&mut self, now: Instant) {
-        let is_busy = self.rollout.register_busy_until.is_some_and(|until| now < until);
-        let Some(number) = self.rollout.lease.replaceable_number(now).filter(|_| !is_busy) else {
+        let is_call_pending = self.rollout.register_call_until.is_some_and(|until| now < until);
+        let Some(number) = self.rollout.lease.replaceable_number(now).filter(|_| !is_call_pending)
+        else {
             return;
         };
-        self.rollout.register_busy_until = Some(now + REGISTER_TIMEOUT);
-        self.rollout.next_register_at = now + REGISTER_RETRY;
+        self.rollout.register_call_until = Some(now + REGISTER_TIMEOUT);
+        self.rollout.next_register_call_at = now + REGISTER_RETRY_DELAY;
         let context = Arc::clone(&self.context);
         let holder = self.rollout.instance.clone();
         self.spawn(async move {
             let outcome = context.ports.store.replace_register(number, &holder).await;
-            context.tell_control(RelayEvent::RegisterReplaced { sent_at: now, outcome });
+            context.notify_control(RelayControlEvent::RegisterReplaced { sent_at: now, outcome });
         });
     }
 
     /// Takes in what the register holds.
-    pub(in crate::relay::control) fn apply_register(
+    pub(in crate::relay::control) fn apply_register_read(
         &mut self,
         read: PeerResult<RegisterRecord>,
         now: Instant,
     ) {
-        self.rollout.register_busy_until = None;
+        self.rollout.register_call_until = None;
         match read {
             Ok(record) => {
                 log::info!("event=lease_read number={} holder={}", record.number, record.holder);
                 self.rollout.lease.observe(record, now);
-                self.rollout.next_register_at = now;
+                self.rollout.next_register_call_at = now;
                 self.tick_rollouts(now);
             }
             Err(error) => log::warn!("event=lease_read_failed {error}"),
@@ -100,13 +101,13 @@
     }
 
     /// Takes in the outcome of taking the lease.
-    pub(in crate::relay::control) fn apply_replaced(
+    pub(in crate::relay::control) fn apply_replacement(
         &mut self,
         sent_at: Instant,
         outcome: PeerResult<Replacement>,
         now: Instant,
     ) {
-        self.rollout.register_busy_until = None;
+        self.rollout.register_call_until = None;
         match outcome {
             Ok(Replacement::Done(number)) => {
                 log::info!("event=lease_taken fencing_number={number}");
--- a/src/relay/control/rollout/mod.rs
+++ b/src/relay/control/rollout/mod.rs
@@ -25,9 +25,9 @@
     next_notice_at: Instant,
     /// Number of the next notice.
     notice_number: u64,
-    heard_notices: ReceivedNotices,
-    register_busy_until: Option<Instant>,
-    next_register_at: Instant,
+    received_notices: ReceivedNotices,
+    register_call_until: Option<Instant>,
+    next_register_call_at: Instant,
 }
 
 impl RolloutControl {
@@ -43,9 +43,9 @@
             last_coordinator: None,
             next_notice_at: now,
             notice_number: 0,
-            heard_notices: ReceivedNotices::default(),
-            register_busy_until: None,
-            next_register_at: now,
+            received_notices: ReceivedNotices::default(),
+            register_call_until: None,
+            next_register_call_at: now,
         }
     }
 
@@ -66,7 +66,7 @@
     pub(super) fn tick_rollouts(&mut self, now: Instant) {
         let models: Vec<ModelId> = self.targets.keys().cloned().collect();
         let outdated: Vec<ModelId> =
-            models.into_iter().filter(|model| self.has_outdated(model)).collect();
+            models.into_iter().filter(|model| self.has_outdated_servers(model)).collect();
         if outdated.is_empty() && self.rollout.rollouts.values().all(|r| r.closed().count() == 0) {
             self.rollout.needed_since = None;
             self.rollout.rollouts.clear();
@@ -75,38 +75,40 @@
         self.rollout.needed_since.get_or_insert(now);
         if self.rollout.lease.fencing_number(now).is_none() {
             self.rollout.rollouts.clear();
-            self.try_lease(now);
+            self.try_acquire_lease(now);
             return;
         }
         if self.rollout.lease.is_renewal_due(now) {
             self.replace_register(now);
         }
         for model in outdated {
-            self.ensure_rollout(&model);
+            self.start_or_retarget(&model);
         }
         let running: Vec<ModelId> = self.rollout.rollouts.keys().cloned().collect();
         for model in running {
             let servers = self.rollout_servers(&model);
             let Some(rollout) = self.rollout.rollouts.get_mut(&model) else { continue };
             let commands = rollout.tick(&servers, now);
-            self.carry_out(&model, commands, now);
+            self.execute(&model, commands, now);
         }
         if now >= self.rollout.next_notice_at {
             self.send_notices(now);
         }
     }
 
-    fn has_outdated(&self, model: &ModelId) -> bool {
+    fn has_outdated_servers(&self, model: &ModelId) -> bool {
         let Some(target) = self.targets.get(model) else { return false };
         let fleet = self.context.fleet();
-        fleet.servers().any(|server| is_takeable(server) && is_older(server, model, *target))
+        fleet
+            .servers()
+            .any(|server| is_eligible(server) && has_older_weights(server, model, *target))
     }
 
     fn rollout_servers(&self, model: &ModelId) -> Vec<RolloutServer> {
         let now = Instant::now();
         let fleet = self.context.fleet();
         let target = fleet.targets().get(model);
-        let servers = fleet.servers().filter(|server| is_takeable(server));
+        let servers = fleet.servers().filter(|server| is_eligible(server));
         servers
             .filter_map(|server| {
                 let revision = *server.weights.get(model)?;
@@ -120,7 +122,7 @@
             .collect()
     }
 
-    fn ensure_rollout(&mut self, model: &ModelId) {
+    fn start_or_retarget(&mut self, model: &ModelId) {
         let Some(target) = self.context.fleet().targets().get(model).cloned() else { return };
         let revision = target.revision();
         match self.rollout.rollouts.get_mut(model) {
@@ -141,11 +143,11 @@
 
 /// Whether a server takes part in rollouts: one that does not answer is brought up to date once it
 /// does.
-fn is_takeable(server: &Server) -> bool {
+fn is_eligible(server: &Server) -> bool {
     let is_suspended = server.suspended_until(Instant::now()).is_some();
     server.entry.state == ServerState::Ready && !server.is_entry_missing() && !is_suspended
 }
 
-fn is_older(server: &Server, model: &ModelId, revision: WeightsRevision) -> bool {
+fn has_older_weights(server: &Server, model: &ModelId, revision: WeightsRevision) -> bool {
     server.weights.get(model).is_some_and(|held| *held < revision)
 }
--- a/src/relay/control/rollout/notices.rs
+++ b/src/relay/control/rollout/notices.rs
@@ -16,7 +16,7 @@
 
 impl RolloutControl {
     /// Returns the next notice about a model, none without a rollout of it.
-    pub(super) fn notice(&mut self, model: &ModelId) -> Option<RolloutNotice> {
+    pub(super) fn next_notice(&mut self, model: &ModelId) -> Option<RolloutNotice> {
         let rollout = self.rollouts.get(model)?;
         self.notice_number += 1;
         Some(RolloutNotice {
@@ -36,9 +36,9 @@
         self.rollout.next_notice_at = now + NOTICE_PERIOD;
         let models: Vec<ModelId> = self.rollout.rollouts.keys().cloned().collect();
         for model in models {
-            let Some(notice) = self.rollout.notice(&model) else { continue };
+            let Some(notice) = self.rollout.next_notice(&model) else { continue };
             self.apply_notice_locally(&notice, now);
-            self.send_partners(None, &PartnerMessage::Rollout(notice));
+            self.broadcast(None, &PartnerMessage::Rollout(notice));
         }
     }
 
@@ -53,7 +53,7 @@
         if notice.lease.holder == self.rollout.instance {
             return;
         }
-        match self.rollout.heard_notices.record(notice.lease.number, notice.number) {
+        match self.rollout.received_notices.record(notice.lease.number, notice.number) {
             NoticeOrder::Duplicate => return,
             NoticeOrder::Newest => {}
             NoticeOrder::Late => {
@@ -64,7 +64,7 @@
         }
         self.apply_rollout_notice(&notice, now);
         if self.loads.is_tree() {
-            self.send_partners(Some(source), &PartnerMessage::Rollout(notice));
+            self.broadcast(Some(source), &PartnerMessage::Rollout(notice));
         }
     }
 
--- a/src/relay/control/rollout/orders.rs
+++ b/src/relay/control/rollout/orders.rs
@@ -5,7 +5,7 @@
 use crate::links::PartnerMessage;
 use crate::metrics::labels::ReasonLabels;
 use crate::ports::WeightsOrder;
-use crate::relay::control::RelayEvent;
+use crate::relay::control::RelayControlEvent;
 use crate::relay::control::state::ControlState;
 use crate::types::{ModelId, PeerResult, ServerId};
 use std::sync::Arc;
@@ -16,7 +16,7 @@
 const CALL_TIMEOUT: Duration = Duration::from_millis(200);
 
 /// Time after a higher fencing number was met in which the register is left alone.
-const FENCED_PERIOD: Duration = Duration::from_millis(1_200);
+const FENCED_RETRY_DELAY: Duration = Duration::from_millis(1_200);
 
 impl ControlState {
     /// Takes in a report of a server.
@@ -32,7 +32,7 @@
         }
         let Some(rollout) = self.rollout.rollouts.get_mut(model) else { return };
         let commands = rollout.on_report(server, report.as_ref().ok(), now);
-        self.carry_out(model, commands, now);
+        self.execute(model, commands, now);
     }
 
     /// Takes in the answer to an order.
@@ -53,32 +53,28 @@
         if outcome == WeightsOrderOutcome::Fenced {
             self.rollout.drop_lease();
             self.rollout.last_coordinator = None;
-            self.rollout.next_register_at = now + FENCED_PERIOD;
+            self.rollout.next_register_call_at = now + FENCED_RETRY_DELAY;
             return;
         }
         let Some(rollout) = self.rollout.rollouts.get_mut(model) else { return };
         let commands = rollout.on_order_outcome(server, outcome, now);
-        self.carry_out(model, commands, now);
+        self.execute(model, commands, now);
     }
 
-    pub(super) fn carry_out(
-        &mut self,
-        model: &ModelId,
-        commands: Vec<RolloutCommand>,
-        now: Instant,
-    ) {
-        let Some(mut notice) = self.rollout.notice(model).filter(|_| !commands.is_empty()) else {
+    pub(super) fn execute(&mut self, model: &ModelId, commands: Vec<RolloutCommand>, now: Instant) {
+        let Some(mut notice) = self.rollout.next_notice(model).filter(|_| !commands.is_empty())
+        else {
             return;
         };
-        let mut tells = false;
+        let mut is_notice_due = false;
         for command in commands {
             match command {
                 RolloutCommand::Close(server) => {
                     log::info!("event=server_closed server={server} model={model}");
-                    tells = true;
+                    is_notice_due = true;
                 }
-                RolloutCommand::Evict(_) => tells = true,
-                RolloutCommand::Report(server) => self.ask_report(model, server),
+                RolloutCommand::Evict(_) => is_notice_due = true,
+                RolloutCommand::Report(server) => self.request_report(model, server),
                 RolloutCommand::Order { server, accepted_orders, runs } => {
                     let Some(fencing_number) = self.rollout.lease.fencing_number(now) else {
                         continue;
@@ -93,29 +89,29 @@
                         fencing_number,
                         accepted_orders,
                     };
-                    self.give_order(order);
+                    self.send_order(order);
                 }
                 RolloutCommand::Finish { server, revision } => {
                     log::info!(
                         "event=server_changed server={server} model={model} revision={revision}"
                     );
                     notice.changed.push((server, revision));
-                    tells = true;
+                    is_notice_due = true;
                 }
                 RolloutCommand::Abandon(server) => {
                     log::info!("event=server_reopened server={server} reason=no_answer");
                     notice.reopened.push(server);
-                    tells = true;
+                    is_notice_due = true;
                 }
             }
         }
-        if tells {
+        if is_notice_due {
             self.apply_notice_locally(&notice, now);
-            self.send_partners(None, &PartnerMessage::Rollout(notice));
+            self.broadcast(None, &PartnerMessage::Rollout(notice));
         }
     }
 
-    fn ask_report(&self, model: &ModelId, server: ServerId) {
+    fn request_report(&self, model: &ModelId, server: ServerId) {
         let context = Arc::clone(&self.context);
         let model = model.clone();
         let Some(address) = context.fleet().server(&server).map(|known| known.entry.address) else {
@@ -124,11 +120,11 @@
         self.spawn(async move {
             let deadline = Instant::now() + CALL_TIMEOUT;
             let report = context.ports.engines.report(&server, address, deadline).await;
-            context.tell_control(RelayEvent::Reported { model, server, report });
+            context.notify_control(RelayControlEvent::ReportEnded { model, server, report });
         });
     }
 
-    fn give_order(&self, order: WeightsOrder) {
+    fn send_order(&self, order: WeightsOrder) {
         let context = Arc::clone(&self.context);
         let Some(address) = context.fleet().server(&order.server).map(|known| known.entry.address)
         else {
@@ -148,7 +144,12 @@
             let deadline = Instant::now() + CALL_TIMEOUT;
             let outcome = context.ports.engines.order(address, &order, deadline).await;
             let WeightsOrder { model, server, fencing_number, .. } = order;
-            context.tell_control(RelayEvent::Ordered { model, server, fencing_number, outcome });
+            context.notify_control(RelayControlEvent::OrderEnded {
+                model,
+                server,
+                fencing_number,
+                outcome,
+            });
         });
     }
 }
--- a/src/relay/control/state.rs
+++ b/src/relay/control/state.rs
@@ -2,11 +2,11 @@
 
 use super::partners::Partners;
 use super::rollout::RolloutControl;
-use super::{RelayEvent, follow, kv_store, partners};
+use super::{RelayControlEvent, follow, kv_store, partners};
 use crate::decision::relay::{LoadExchange, ReadSchedule, Replica, StoreLink};
 use crate::links::Identity;
 use crate::relay::RelayContext;
-use crate::relay::suspension_detector::SuspendClock;
+use crate::relay::suspension_detector::SuspensionDetector;
 use crate::types::{InstanceId, ModelId, WeightsRevision};
 use async_channel::Receiver;
 use futures_lite::FutureExt;
@@ -24,7 +24,7 @@
 const TICK_PERIOD: Duration = Duration::from_millis(100);
 
 /// Period of a node that passes the loads of others on.
-const SHORT_TICK_PERIOD: Duration = Duration::from_millis(50);
+const FORWARDING_TICK_PERIOD: Duration = Duration::from_millis(50);
 
 /// Period while a rollout is under way.
 const ROLLOUT_TICK_PERIOD: Duration = Duration::from_millis(25);
@@ -36,7 +36,7 @@
     /// Id of this run of the node.
     pub instance: InstanceId,
     /// Events.
-    pub events: Receiver<RelayEvent>,
+    pub events: Receiver<RelayControlEvent>,
     /// Listener of partner links.
     pub partners: TcpListener,
     /// Address of that listener.
@@ -49,14 +49,14 @@
     pub(super) executor: Weak<LocalExecutor<'static>>,
     pub(super) replica: Replica,
     /// Reads of the topics, for the tasks that follow them.
-    pub(super) record_watch: Rc<RefCell<ReadSchedule>>,
+    pub(super) read_schedule: Rc<RefCell<ReadSchedule>>,
     pub(super) partners: Partners,
     pub(super) loads: LoadExchange,
     pub(super) rollout: RolloutControl,
     pub(super) targets: BTreeMap<ModelId, WeightsRevision>,
     /// Whether the store answers, for the tasks that follow it.
-    pub(super) kv_store: Rc<Cell<Option<SocketAddr>>>,
-    suspend_clock: SuspendClock,
+    pub(super) kv_store_address: Rc<Cell<Option<SocketAddr>>>,
+    suspension_detector: SuspensionDetector,
 }
 
 /// Runs the control thread's main task.
@@ -69,24 +69,24 @@
     let mut state = ControlState {
         rollout: RolloutControl::new(instance, context.settings.rollout_lease_ms),
         replica: Replica::default(),
-        record_watch: Rc::default(),
+        read_schedule: Rc::default(),
         partners,
         loads: LoadExchange::new(now),
         targets: BTreeMap::new(),
-        kv_store: Rc::clone(&kv_store),
-        suspend_clock: SuspendClock::new(),
+        kv_store_address: Rc::clone(&kv_store),
+        suspension_detector: SuspensionDetector::new(),
         executor,
         context: Arc::clone(&context),
     };
     // The seeds alone may be reachable while the store is not.
     state.apply_announced(&[], now);
     follow::start(&state, partner_address);
-    state.spawn(partners::listen(Arc::clone(&context), identity, listener));
+    state.spawn(partners::accept_links(Arc::clone(&context), identity, listener));
     state.spawn(kv_store::watch(context, kv_store));
     run(state, events).await;
 }
 
-async fn run(mut state: ControlState, events: Receiver<RelayEvent>) {
+async fn run(mut state: ControlState, events: Receiver<RelayControlEvent>) {
     let mut next_tick_at = Instant::now();
     loop {
         let received = async { events.recv().await.map(Some).ok() };
@@ -96,7 +96,7 @@
         };
         let Some(event) = received.or(tick).await else { return };
         let now = Instant::now();
-        state.note_suspension();
+        state.handle_suspension();
         match event {
             Some(event) => state.handle(event, now),
             None => {
@@ -120,54 +120,56 @@
         if self.rollout.is_active() {
             ROLLOUT_TICK_PERIOD
         } else if self.loads.forwards_loads() {
-            SHORT_TICK_PERIOD
+            FORWARDING_TICK_PERIOD
         } else {
             TICK_PERIOD
         }
     }
 
-    fn handle(&mut self, event: RelayEvent, now: Instant) {
+    fn handle(&mut self, event: RelayControlEvent, now: Instant) {
         match event {
-            RelayEvent::Listed { topic, listing, asked_at } => {
+            RelayControlEvent::TopicListed { topic, listing, requested_at } => {
                 self.apply_listing(topic, listing, now);
-                self.record_watch.borrow_mut().confirm(topic, asked_at);
+                self.read_schedule.borrow_mut().confirm(topic, requested_at);
             }
-            RelayEvent::Records { topic, records, next_offset, confirmed_at } => {
+            RelayControlEvent::RecordsRead { topic, records, next_offset, confirmed_at } => {
                 self.apply_records(topic, records, next_offset, now);
-                self.record_watch.borrow_mut().confirm(topic, confirmed_at.min(now));
+                self.read_schedule.borrow_mut().confirm(topic, confirmed_at.min(now));
             }
-            RelayEvent::Announced(nodes) => self.apply_announced(&nodes, now),
-            RelayEvent::LinkOpened { link, peer, dialed, outgoing } => {
+            RelayControlEvent::NodesAnnounced(nodes) => self.apply_announced(&nodes, now),
+            RelayControlEvent::LinkOpened { link, peer, dialed, outgoing } => {
                 self.open_link(link, peer, dialed, outgoing, now);
             }
-            RelayEvent::LinkReceived { link, message } => self.receive(link, message, now),
-            RelayEvent::LinkEnded { link, end } => self.end_link(link, &end, now),
-            RelayEvent::DialFailed(address) => self.fail_dial(address, now),
-            RelayEvent::Stored => self.send_load(now),
-            RelayEvent::Cut { server, address, run, fingerprint } => {
-                self.check_crash(server, address, run, fingerprint);
+            RelayControlEvent::LinkReceived { link, message } => {
+                self.receive_message(link, message, now)
             }
-            RelayEvent::Crashed(strike) => self.add_strikes(None, vec![strike], now),
-            RelayEvent::Reported { model, server, report } => {
+            RelayControlEvent::LinkEnded { link, end } => self.end_link(link, &end, now),
+            RelayControlEvent::DialFailed(address) => self.handle_failed_dial(address, now),
+            RelayControlEvent::PrefixesStored => self.send_load(now),
+            RelayControlEvent::ExchangeCut { server, address, incarnation, fingerprint } => {
+                self.check_crash(server, address, incarnation, fingerprint);
+            }
+            RelayControlEvent::ServerCrashed(strike) => self.add_strikes(None, vec![strike], now),
+            RelayControlEvent::ReportEnded { model, server, report } => {
                 self.apply_report(&model, &server, report, now);
             }
-            RelayEvent::Ordered { model, server, fencing_number, outcome } => {
+            RelayControlEvent::OrderEnded { model, server, fencing_number, outcome } => {
                 self.apply_order(&model, &server, fencing_number, outcome, now);
             }
-            RelayEvent::RegisterRead(read) => self.apply_register(read, now),
-            RelayEvent::RegisterReplaced { sent_at, outcome } => {
-                self.apply_replaced(sent_at, outcome, now);
+            RelayControlEvent::RegisterRead(read) => self.apply_register_read(read, now),
+            RelayControlEvent::RegisterReplaced { sent_at, outcome } => {
+                self.apply_replacement(sent_at, outcome, now);
             }
-            RelayEvent::KvStore { address, is_emptied } => {
+            RelayControlEvent::KvStoreChanged { address, is_emptied } => {
                 self.apply_kv_store(address, is_emptied, now);
             }
-            RelayEvent::Stop => self.leave_partners(now),
+            RelayControlEvent::NodeStopping => self.leave_partners(now),
         }
     }
 
     fn tick(&mut self, now: Instant) {
-        let gone = self.context.fleet().remove_expired(now);
-        for server in gone {
+        let expired = self.context.fleet().remove_expired(now);
+        for server in expired {
             log::info!("event=server_gone server={server} reason=entry_not_back");
             self.context.pool.close_server(&server);
         }
@@ -189,7 +191,7 @@
         let engines = configuration.iter().flat_map(|known| known.services.values());
         let token_bytes =
             engines.filter_map(|service| service.engine.as_ref()).map(|e| e.kv_token_bytes).max();
-        let nodes = self.partners.most_nodes();
+        let nodes = self.partners.max_live_nodes();
         let mut fleet = self.context.fleet();
         fleet.kv_store =
             store.map(|store| StoreLink::new(store, token_bytes.unwrap_or_default(), nodes, now));
@@ -199,8 +201,8 @@
     }
 
     /// Drops what must not outlast a suspension of the machine.
-    fn note_suspension(&mut self) {
-        let Some(gap) = self.suspend_clock.take_suspension() else { return };
+    fn handle_suspension(&mut self) {
+        let Some(gap) = self.suspension_detector.take_suspension() else { return };
         log::warn!("event=suspended gap_ms={}", gap.as_millis());
         self.rollout.drop_lease();
     }
--- a/src/relay/exchange.rs
+++ b/src/relay/exchange.rs
@@ -1,9 +1,9 @@
 //! One request of a caller, from its head to the answer.
 
-use super::attempt::{self, Answer, AttemptEnd};
-use super::buffered_answer::answer;
+use super::attempt::{self, Answer, AttemptOutcome};
+use super::buffered_answer::forward_buffered;
 use super::refusal::{Refusal, RefusalReason};
-use super::request::{RelayedRequest, admit};
+use super::request::{RelayedRequest, receive};
 use super::{RelayContext, stream};
 use crate::adapters::http_server::Reply;
 use crate::decision::relay::{Choice, Unavailable, UnavailableReason};
@@ -18,19 +18,19 @@
 use std::time::{Duration, Instant};
 
 /// Part of the latency objective for which a request may wait for a server.
-const WAIT_PART: u32 = 8;
+const WAIT_OBJECTIVE_DIVISOR: u32 = 8;
 
 /// Time between two looks for a server.
-const WAIT_STEP: Duration = Duration::from_millis(10);
+const CHOICE_POLL_PERIOD: Duration = Duration::from_millis(10);
 
 /// Least time left for another attempt to make sense.
-const LEAST_ATTEMPT_TIME: Duration = Duration::from_millis(60);
+const MIN_ATTEMPT_TIME: Duration = Duration::from_millis(60);
 
 /// Servers that a request may be offered to, those out of reach or full included.
-const MOST_SERVERS: usize = 4;
+const MAX_TRIED_SERVERS: usize = 4;
 
 /// Wait before a caller comes back whose request no server ran.
-const NOT_RUN_RETRY: Duration = Duration::from_millis(60);
+const NOT_RUN_RETRY_DELAY: Duration = Duration::from_millis(60);
 
 /// Servers that a request was sent to so far.
 #[derive(Clone, Debug, Default)]
@@ -38,38 +38,43 @@
     /// Servers that had it or were out of reach.
     pub tried: Vec<ServerId>,
     /// Servers that may have run it.
-    pub sent: u32,
+    pub possible_runs: u32,
 }
 
 impl Attempts {
     /// Whether the route allows no server after the next one.
     pub fn is_next_last(&self, route: &Route) -> bool {
-        self.sent + 1 >= route.max_attempts
+        self.possible_runs + 1 >= route.max_attempts
     }
 
     /// Counts an attempt unless its server says that it did not run the request.
-    pub fn count(&mut self, end: &AttemptEnd) {
-        self.sent += match end {
-            AttemptEnd::Answered(_) | AttemptEnd::Unknown(_) => 1,
-            AttemptEnd::NotRun(_) | AttemptEnd::NotSent(_) => 0,
+    pub fn record(&mut self, outcome: &AttemptOutcome) {
+        self.possible_runs += match outcome {
+            AttemptOutcome::Answered(_) | AttemptOutcome::Unknown(_) => 1,
+            AttemptOutcome::NotRun(_) | AttemptOutcome::NotSent(_) => 0,
         };
     }
 
     /// Takes a resend if route, budget and time allow one.
-    pub fn try_resend(&self, context: &RelayContext, request: &RelayedRequest, why: &str) -> bool {
+    pub fn try_resend(
+        &self,
+        context: &RelayContext,
+        request: &RelayedRequest,
+        reason: &str,
+    ) -> bool {
         let now = Instant::now();
-        let is_allowed = self.sent < request.route.max_attempts
-            && self.tried.len() < MOST_SERVERS
-            && now + LEAST_ATTEMPT_TIME < request.deadline
-            && context.budget().try_take(&request.service, now);
+        let is_allowed = self.possible_runs < request.route.max_attempts
+            && self.tried.len() < MAX_TRIED_SERVERS
+            && now + MIN_ATTEMPT_TIME < request.deadline
+            && context.resend_budget().try_take(&request.service, now);
         if is_allowed {
-            let labels = ReasonLabels { reason: why.to_owned() };
+            let labels = ReasonLabels { reason: reason.to_owned() };
             context.metrics.resends.get_or_create(&labels).inc();
             log::info!(
-                "event=resend request={} route={} reason={why} sent={} age_ms={}",
+                "event=resend request={} route={} reason={reason} sent={} age_ms={}",
                 request.id,
                 request.route.name,
-                self.sent,
+                self.possible_runs,
                 request.age_ms()
             );
         }
@@ -82,40 +87,41 @@
     let arrived_at = Instant::now();
     let facts = context.ports.dialect.read_request(request.headers());
     let id = facts.id.clone();
-    let admitted = admit(&context, request, facts, arrived_at).await;
-    let request = match admitted {
+    let received = receive(&context, request, facts, arrived_at).await;
+    let request = match received {
         Ok(request) => Arc::new(request),
         Err(refusal) => {
             log_refusal(id.as_ref(), None, refusal, arrived_at);
             return refusal.reply(&context, id.as_ref());
         }
     };
-    let mut unanswered = Unanswered { context: &context, request: &request, is_over: false };
+    let mut unanswered =
+        UnansweredRequest { context: &context, request: &request, is_answered: false };
     let served = serve(&context, &request).await;
-    unanswered.is_over = true;
+    unanswered.is_answered = true;
     match served {
         Ok(reply) => reply,
         Err(refusal) => {
             log_refusal(Some(&request.id), Some(&request.route.name), refusal, arrived_at);
-            stream::count(&context, &request, "refused");
+            stream::count_outcome(&context, &request, "refused");
             refusal.reply(&context, Some(&request.id))
         }
     }
 }
 
 /// Request without an answer yet; dropped with the request's task when its caller leaves.
-struct Unanswered<'a> {
+struct UnansweredRequest<'a> {
     context: &'a RelayContext,
     request: &'a RelayedRequest,
-    is_over: bool,
+    is_answered: bool,
 }
 
-impl Drop for Unanswered<'_> {
+impl Drop for UnansweredRequest<'_> {
     fn drop(&mut self) {
-        if self.is_over {
+        if self.is_answered {
             return;
         }
-        stream::count(self.context, self.request, "left");
+        stream::count_outcome(self.context, self.request, "left");
         log::info!(
             "event=left request={} route={} age_ms={}",
             self.request.id,
@@ -143,67 +149,70 @@
     context: &Arc<RelayContext>,
     request: &Arc<RelayedRequest>,
 ) -> Result<Reply, Refusal> {
-    context.budget().count_first_attempt(&request.service, Instant::now());
+    context.resend_budget().count_first_attempt(&request.service, Instant::now());
     let mut attempts = Attempts::default();
     loop {
-        let choice = choose(context, request, &attempts).await?;
+        let choice = choose_server(context, request, &attempts).await?;
         let is_last = attempts.is_next_last(&request.route);
         attempts.tried.push(choice.server.clone());
-        let end = attempt::send(context, request, &choice, None, is_last).await;
-        attempts.count(&end);
-        let retried = match end {
-            AttemptEnd::NotSent(error) if error.delivery == Delivery::NotSent => {
-                attempts.tried.len() < MOST_SERVERS
+        let outcome = attempt::send(context, request, &choice, None, is_last).await;
+        attempts.record(&outcome);
+        let is_retry_allowed = match outcome {
+            AttemptOutcome::NotSent(error) if error.delivery == Delivery::NotSent => {
+                attempts.tried.len() < MAX_TRIED_SERVERS
             }
-            AttemptEnd::NotSent(_) => false,
-            AttemptEnd::NotRun(reason) => {
+            AttemptOutcome::NotSent(_) => false,
+            AttemptOutcome::NotRun(reason) => {
                 attempts.try_resend(context, request, &reason.to_string())
             }
-            AttemptEnd::Unknown(error) => {
-                let is_repeatable = request.route.retry_safety.is_retryable();
-                if !is_repeatable || !attempts.try_resend(context, request, "unknown") {
-                    return Err(unknown_refusal(request, &error));
+            AttemptOutcome::Unknown(error) => {
+                let is_retryable = request.route.retry_safety.is_retryable();
+                if !is_retryable || !attempts.try_resend(context, request, "unknown") {
+                    return Err(failure_refusal(request, &error));
                 }
                 true
             }
-            AttemptEnd::Answered(received) => {
-                match pass_on(context, request, &mut attempts, *received).await? {
+            AttemptOutcome::Answered(received) => {
+                match forward_answer(context, request, &mut attempts, *received).await? {
                     Some(reply) => return Ok(reply),
                     None => true,
                 }
             }
         };
-        if !retried {
-            return Err(Refusal::until(RefusalReason::NotRun, Instant::now() + NOT_RUN_RETRY));
+        if !is_retry_allowed {
+            return Err(Refusal::with_retry(
+                RefusalReason::NotRun,
+                Instant::now() + NOT_RUN_RETRY_DELAY,
+            ));
         }
     }
 }
 
 /// Returns the answer for the caller, or none if the request is to be sent once more.
-async fn pass_on(
+async fn forward_answer(
     context: &Arc<RelayContext>,
     request: &Arc<RelayedRequest>,
     attempts: &mut Attempts,
     received: Answer,
 ) -> Result<Option<Reply>, Refusal> {
     let is_failure = received.exchange.status.is_server_error();
-    let is_repeatable = request.route.retry_safety.is_retryable();
-    if is_failure && is_repeatable && attempts.try_resend(context, request, "server_error") {
+    let is_retryable = request.route.retry_safety.is_retryable();
+    if is_failure && is_retryable && attempts.try_resend(context, request, "server_error") {
         return Ok(None);
     }
     if !is_failure && request.route.retry_safety.is_stream() {
-        return Ok(Some(stream::answer(context, request, attempts.clone(), received)));
+        return Ok(Some(stream::forward_stream(context, request, attempts.clone(), received)));
     }
-    match answer(context, request, received).await {
+    match forward_buffered(context, request, received).await {
         Ok(reply) => Ok(Some(reply)),
-        Err(_) if is_repeatable && attempts.try_resend(context, request, "answer_broken") => {
+        Err(_) if is_retryable && attempts.try_resend(context, request, "answer_broken") => {
             Ok(None)
         }
-        Err(error) => Err(unknown_refusal(request, &error)),
+        Err(error) => Err(failure_refusal(request, &error)),
     }
 }
 
-fn unknown_refusal(request: &RelayedRequest, error: &PeerError) -> Refusal {
+fn failure_refusal(request: &RelayedRequest, error: &PeerError) -> Refusal {
     let is_late = Instant::now() >= request.deadline;
     let reason = match error.step {
         _ if is_late => RefusalReason::TimedOut,
@@ -214,19 +223,19 @@
 }
 
 /// Returns the server for the next attempt; waits a little if one will be free soon.
-pub async fn choose(
+pub async fn choose_server(
     context: &RelayContext,
     request: &RelayedRequest,
     attempts: &Attempts,
 ) -> Result<Choice, Refusal> {
     let objective = Duration::from_millis(request.route.latency_objective_ms);
-    let wait_until = Instant::now() + objective / WAIT_PART;
+    let wait_until = Instant::now() + objective / WAIT_OBJECTIVE_DIVISOR;
     loop {
         let now = Instant::now();
-        let chosen = context.fleet().choose(request.wanted(&attempts.tried), now);
+        let chosen = context.fleet().choose(request.server_query(&attempts.tried), now);
         match chosen {
             Ok(choice) => {
-                check_overload(request, &choice, attempts.sent > 0, now)?;
+                check_overload(request, &choice, attempts.possible_runs > 0, now)?;
                 log_choice(request, &choice);
                 return Ok(choice);
             }
@@ -234,9 +243,9 @@
                 let may_wait = reason == UnavailableReason::Closed && now < wait_until;
                 if !may_wait {
                     let reason = RefusalReason::Unavailable(reason);
-                    return Err(Refusal::until(reason, retry_at));
+                    return Err(Refusal::with_retry(reason, retry_at));
                 }
-                Timer::after(WAIT_STEP).await;
+                Timer::after(CHOICE_POLL_PERIOD).await;
             }
         }
     }
@@ -246,10 +255,10 @@
 fn check_overload(
     request: &RelayedRequest,
     choice: &Choice,
-    has_run: bool,
+    has_started: bool,
     now: Instant,
 ) -> Result<(), Refusal> {
-    match request.admission(has_run, now).refusal_retry_at(choice.expected_ms, now) {
+    match request.admission(has_started, now).refusal_retry_at(choice.expected_ms, now) {
         None => Ok(()),
         Some(retry_at) => {
             log::info!(
@@ -259,7 +268,7 @@
                 choice.expected_ms,
                 request.deadline.saturating_duration_since(now).as_millis()
             );
-            Err(Refusal::until(RefusalReason::Overloaded, retry_at))
+            Err(Refusal::with_retry(RefusalReason::Overloaded, retry_at))
         }
     }
 }
--- a/src/relay/node.rs
+++ b/src/relay/node.rs
@@ -1,6 +1,6 @@
 //! Assembles a relay node and runs it on threads of its own.
 
-use super::control::{self, ControlParts, RelayEvent};
+use super::control::{self, ControlParts, RelayControlEvent};
 use super::exchange;
 use super::metrics::RelayMetrics;
 use super::{RelayContext, RelayPorts, RelaySettings};
@@ -28,16 +28,18 @@
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
 /// Events that may wait for the control thread.
-const CONTROL_QUEUE: usize = 1_024;
+const MAX_QUEUED_EVENTS: usize = 1_024;
 
 /// Limits of the callers' listener until a configuration names some.
-const FIRST_LIMITS: ServerLimits = ServerLimits { head_bytes: 16 * 1024, head_timeout_ms: 16_000 };
+const DEFAULT_CALLER_LIMITS: ServerLimits =
+    ServerLimits { head_bytes: 16 * 1024, head_timeout_ms: 16_000 };
 
 /// Limits of the listeners for operators' tools.
-const TOOL_LIMITS: ServerLimits = ServerLimits { head_bytes: 8 * 1024, head_timeout_ms: 60_000 };
+const MONITORING_LIMITS: ServerLimits =
+    ServerLimits { head_bytes: 8 * 1024, head_timeout_ms: 60_000 };
 
 /// Period in which a stopping node looks whether its connections have ended.
-const STOP_CHECK_PERIOD: Duration = Duration::from_millis(50);
+const DRAIN_POLL_PERIOD: Duration = Duration::from_millis(50);
 
 /// Running relay node.
 pub struct RelayNode {
@@ -74,9 +76,9 @@
         let partner_address = partners.local_addr()?;
         let caller_address = callers.local_addr()?;
         let readiness_address = readiness.local_addr()?;
-        let instance = instance_id(&settings);
-        let (control, events) = async_channel::bounded(CONTROL_QUEUE);
-        let context = Arc::new(new_context(settings, metrics, ports, pool, control));
+        let instance = new_instance_id(&settings);
+        let (control_events, events) = async_channel::bounded(MAX_QUEUED_EVENTS);
+        let context = Arc::new(new_context(settings, metrics, ports, pool, control_events));
         let (drain, draining) = async_channel::bounded(1);
         let (stop, stopped) = async_channel::bounded(1);
         let control_parts = ControlParts {
@@ -92,7 +94,7 @@
             stopped.clone(),
         )?;
         serve_callers(&executor, &context, callers, draining);
-        serve_tools(&executor, &context, readiness, metrics_listener, stopped.clone());
+        serve_monitoring(&executor, &context, readiness, metrics_listener, stopped.clone());
         let traffic_thread =
             spawn_traffic(String::from("traffic"), Arc::clone(&executor), stopped)?;
         log::info!(
@@ -133,12 +135,12 @@
         let started_at = Instant::now();
         log::info!("event=drain_started");
         self.context.is_stopping.store(true, Ordering::Release);
-        self.context.tell_control(RelayEvent::Stop);
+        self.context.notify_control(RelayControlEvent::NodeStopping);
         thread::sleep(Duration::from_millis(limits.accept_ms));
         self.drain.close();
         let deadline = started_at + Duration::from_millis(limits.limit_ms);
         while self.drain.receiver_count() > 0 && Instant::now() < deadline {
-            thread::sleep(STOP_CHECK_PERIOD);
+            thread::sleep(DRAIN_POLL_PERIOD);
         }
         log::info!("event=stopped cut={}", self.drain.receiver_count());
         self.kill();
@@ -153,7 +155,7 @@
     }
 }
 
-fn instance_id(settings: &RelaySettings) -> InstanceId {
+fn new_instance_id(settings: &RelaySettings) -> InstanceId {
     let started = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
     format_smolstr!("{}-{:x}", settings.instance_name, started.as_millis())
 }
@@ -163,20 +165,20 @@
     metrics: RelayMetrics,
     ports: RelayPorts,
     pool: Arc<ConnectionPool>,
-    control: Sender<RelayEvent>,
+    control_events: Sender<RelayControlEvent>,
 ) -> RelayContext {
     RelayContext {
         configuration: ArcSwapOption::empty(),
-        caller_limits: Arc::new(ArcSwap::from_pointee(FIRST_LIMITS)),
+        caller_limits: Arc::new(ArcSwap::from_pointee(DEFAULT_CALLER_LIMITS)),
         pool,
         metrics,
-        control,
+        control_events,
         is_stopping: AtomicBool::new(false),
-        knows_servers: AtomicBool::new(false),
+        has_server_list: AtomicBool::new(false),
         fleet: Mutex::new(Fleet::new(settings.availability_zone.clone())),
-        budget: Mutex::new(ResendBudget::new(settings.resend, 1)),
+        resend_budget: Mutex::new(ResendBudget::new(settings.resend, 1)),
         poison: Mutex::new(PoisonState::default()),
-        next_attempt: AtomicU64::new(1),
+        next_number: AtomicU64::new(1),
         settings,
         ports,
     }
@@ -196,14 +198,14 @@
     executor.spawn(server).detach();
 }
 
-fn serve_tools(
+fn serve_monitoring(
     executor: &Arc<Executor<'static>>,
     context: &Arc<RelayContext>,
     readiness: TcpListener,
     metrics: TcpListener,
     stopped: Receiver<Infallible>,
 ) {
-    let limits = Arc::new(ArcSwap::from_pointee(TOOL_LIMITS));
+    let limits = Arc::new(ArcSwap::from_pointee(MONITORING_LIMITS));
     let shared = Arc::clone(context);
     let answer_readiness: Handler = Arc::new(move |request| {
         let reply = readiness_reply(&shared, &request);
--- a/src/relay/refusal.rs
+++ b/src/relay/refusal.rs
@@ -12,13 +12,13 @@
 use strum::{Display, IntoStaticStr};
 
 /// Least time before a caller comes back.
-const LEAST_RETRY: Duration = Duration::from_millis(40);
+const MIN_RETRY_DELAY: Duration = Duration::from_millis(40);
 
 /// Wait before a caller comes back while the node knows no configuration.
-const UNCONFIGURED_RETRY: Duration = Duration::from_millis(500);
+const UNCONFIGURED_RETRY_DELAY: Duration = Duration::from_millis(500);
 
 /// Part of the wait by which callers are spread, so that they do not come back together.
-const RETRY_SPREAD: f64 = 0.5;
+const MAX_RETRY_JITTER: f64 = 0.5;
 
 /// Why the relay answers itself.
 #[derive(Clone, Copy, Debug, Display, Eq, IntoStaticStr, PartialEq)]
@@ -95,13 +95,13 @@
     }
 
     /// Returns a refusal that asks the caller to come back.
-    pub fn until(reason: RefusalReason, retry_at: Instant) -> Self {
+    pub fn with_retry(reason: RefusalReason, retry_at: Instant) -> Self {
         Self { reason, retry_at: Some(retry_at) }
     }
 
     /// Returns the refusal of a node that knows too little to serve yet.
     pub fn unconfigured(now: Instant) -> Self {
-        Self::until(RefusalReason::Unconfigured, now + UNCONFIGURED_RETRY)
+        Self::with_retry(RefusalReason::Unconfigured, now + UNCONFIGURED_RETRY_DELAY)
     }
 
     /// Counts the refusal and returns the answer.
@@ -114,9 +114,9 @@
             context.ports.dialect.write_answer(reply.headers_mut(), request);
         }
         if let Some(retry_at) = self.retry_at {
-            let wait = retry_at.saturating_duration_since(Instant::now()).max(LEAST_RETRY);
-            let spread = 1.0 + RETRY_SPREAD * fastrand::f64();
-            let seconds = format!("{:.3}", wait.as_secs_f64() * spread);
+            let delay = retry_at.saturating_duration_since(Instant::now()).max(MIN_RETRY_DELAY);
+            let jitter = 1.0 + MAX_RETRY_JITTER * fastrand::f64();
+            let seconds = format!("{:.3}", delay.as_secs_f64() * jitter);
             if let Ok(value) = HeaderValue::from_str(&seconds) {
                 reply.headers_mut().insert(header::RETRY_AFTER, value);
             }
--- a/src/relay/request.rs
+++ b/src/relay/request.rs
@@ -18,10 +18,10 @@
 use xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed};
 
 /// Body limit while a configuration names none.
-const DEFAULT_BODY_BYTES: usize = 4 * 1024 * 1024;
+const DEFAULT_MAX_BODY_BYTES: usize = 4 * 1024 * 1024;
 
 /// Headers that concern one connection alone.
-const CONNECTION_HEADERS: [HeaderName; 9] = [
+const HOP_BY_HOP_HEADERS: [HeaderName; 9] = [
     header::CONNECTION,
     header::TE,
     header::TRAILER,
@@ -66,8 +66,9 @@
 impl RelayedRequest {
     /// Returns the priority with which servers are to take it, 0 is the highest.
     pub fn priority(&self) -> u8 {
-        let own = self.workspace.as_ref().and_then(|workspace| workspace.priority);
-        self.admission(false, self.arrived_at).server_priority(own.unwrap_or(self.route.priority))
+        let workspace_priority = self.workspace.as_ref().and_then(|workspace| workspace.priority);
+        self.admission(false, self.arrived_at)
+            .server_priority(workspace_priority.unwrap_or(self.route.priority))
     }
 
     /// Returns what decides its admission at `now`; `has_run` tells whether a server ran it in part.
@@ -82,7 +83,7 @@
     }
 
     /// Returns what decides the choice of a server.
-    pub fn wanted<'a>(&'a self, tried: &'a [ServerId]) -> ServerQuery<'a> {
+    pub fn server_query<'a>(&'a self, tried: &'a [ServerId]) -> ServerQuery<'a> {
         let isolated = self.workspace.as_ref().filter(|workspace| workspace.is_isolated);
         ServerQuery {
             service: &self.service,
@@ -100,7 +101,7 @@
 }
 
 /// Checks a request and reads its body.
-pub async fn admit(
+pub async fn receive(
     context: &RelayContext,
     request: Request<Incoming>,
     facts: RequestFacts,
@@ -108,7 +109,7 @@
 ) -> Result<RelayedRequest, Refusal> {
     let configuration = context.configuration.load_full();
     let Some(configuration) =
-        configuration.filter(|_| context.knows_servers.load(Ordering::Acquire))
+        configuration.filter(|_| context.has_server_list.load(Ordering::Acquire))
     else {
         return Err(Refusal::unconfigured(arrived_at));
     };
@@ -118,11 +119,11 @@
         .service(xxh3_64(id.as_bytes()))
         .cloned()
         .ok_or(Refusal::new(RefusalReason::NoRoute))?;
-    let patience_ms = facts.patience_ms.unwrap_or(route.timeout_ms).min(route.timeout_ms);
-    let deadline = arrived_at + Duration::from_millis(patience_ms);
-    let limit_bytes = configuration.limits.map_or(DEFAULT_BODY_BYTES, |limits| limits.body_bytes);
+    let timeout_ms = facts.patience_ms.unwrap_or(route.timeout_ms).min(route.timeout_ms);
+    let deadline = arrived_at + Duration::from_millis(timeout_ms);
+    let max_bytes = configuration.limits.map_or(DEFAULT_MAX_BODY_BYTES, |limits| limits.body_bytes);
     let (parts, body) = request.into_parts();
-    let body = read_body(body, limit_bytes, deadline).await?;
+    let body = read_body(body, max_bytes, deadline).await?;
     let uri = parts.uri.path_and_query().map_or(parts.uri.clone(), |path| path.clone().into());
     let fingerprint = fingerprint(workspace.as_deref(), &uri, &body);
     check_poison(context, fingerprint)?;
@@ -164,7 +165,7 @@
 
 async fn read_body(
     mut body: Incoming,
-    limit_bytes: usize,
+    max_bytes: usize,
     deadline: Instant,
 ) -> Result<Bytes, Refusal> {
     let mut whole = BytesMut::new();
@@ -179,7 +180,7 @@
             Ok(Some(Ok(frame))) => frame,
         };
         let Ok(data) = frame.into_data() else { continue };
-        if whole.len() + data.len() > limit_bytes {
+        if whole.len() + data.len() > max_bytes {
             return Err(Refusal::new(RefusalReason::BodyTooLarge));
         }
         whole.extend_from_slice(&data);
@@ -202,14 +203,14 @@
 
 /// Drops the headers that concern one connection alone.
 pub fn end_to_end_headers(mut headers: HeaderMap) -> HeaderMap {
-    let named: Vec<HeaderName> = headers
+    let connection_headers: Vec<HeaderName> = headers
         .get_all(header::CONNECTION)
         .iter()
         .filter_map(|value| value.to_str().ok())
         .flat_map(|value| value.split(','))
         .filter_map(|name| name.trim().parse().ok())
         .collect();
-    for name in CONNECTION_HEADERS.iter().chain(&named) {
+    for name in HOP_BY_HOP_HEADERS.iter().chain(&connection_headers) {
         headers.remove(name);
     }
     headers
--- a/src/relay/run.rs
+++ b/src/relay/run.rs
@@ -8,14 +8,14 @@
 use strum::Display;
 
 /// Period in which the settings file is looked at, since it may change without a signal.
-const SETTINGS_PERIOD: Duration = Duration::from_secs(5);
+const SETTINGS_POLL_PERIOD: Duration = Duration::from_secs(5);
 
 /// What wakes the main thread.
-enum Wake {
+enum WakeReason {
     /// A signal, none if no more can come.
     Signal(Option<std::io::Result<Signal>>),
     /// The settings file is to be looked at.
-    LookAtSettings,
+    PollSettings,
 }
 
 /// Why the settings are read again.
@@ -37,23 +37,23 @@
 pub fn run(node: RelayNode, mut reload: impl FnMut(ReloadCause)) -> anyhow::Result<()> {
     let mut signals = Signals::new([Signal::Term, Signal::Int, Signal::Hup])?;
     loop {
-        let signal = async { Wake::Signal(signals.next().await) };
+        let signal = async { WakeReason::Signal(signals.next().await) };
         let look = async {
-            Timer::after(SETTINGS_PERIOD).await;
-            Wake::LookAtSettings
+            Timer::after(SETTINGS_POLL_PERIOD).await;
+            WakeReason::PollSettings
         };
         match smol::block_on(signal.or(look)) {
-            Wake::LookAtSettings => reload(ReloadCause::Look),
-            Wake::Signal(Some(Ok(Signal::Hup))) => reload(ReloadCause::Signal),
-            Wake::Signal(Some(Ok(signal))) => {
+            WakeReason::PollSettings => reload(ReloadCause::Look),
+            WakeReason::Signal(Some(Ok(Signal::Hup))) => reload(ReloadCause::Signal),
+            WakeReason::Signal(Some(Ok(signal))) => {
                 log::info!("event=signal signal={signal:?}");
                 node.drain();
                 return Ok(());
             }
-            Wake::Signal(Some(Err(error))) => {
+            WakeReason::Signal(Some(Err(error))) => {
                 log::warn!("event=signal_failed error=\"{error}\"");
             }
-            Wake::Signal(None) => return Ok(()),
+            WakeReason::Signal(None) => return Ok(()),
         }
     }
 }
--- a/src/relay/stream.rs
+++ b/src/relay/stream.rs
@@ -2,9 +2,9 @@
 //! allows it.
 
 use super::RelayContext;
-use super::attempt::{self, Answer, AttemptEnd, NotRunReason};
-use super::buffered_answer::keep;
-use super::exchange::{Attempts, choose};
+use super::attempt::{self, Answer, AttemptOutcome, NotRunReason};
+use super::buffered_answer::return_to_pool;
+use super::exchange::{Attempts, choose_server};
 use super::metrics::AnswerLabels;
 use super::request::{RelayedRequest, end_to_end_headers};
 use crate::adapters::deadline::within;
@@ -23,16 +23,16 @@
 
 /// Silence of a server after which a stream that can be resumed goes on at another one: several
 /// times the pause that callers accept, and less than the one after which they leave.
-const STREAM_SILENCE: Duration = Duration::from_millis(1_000);
+const MAX_STREAM_SILENCE: Duration = Duration::from_millis(1_000);
 
 /// Time after which a stream that no server took is moved again: a request or two end meanwhile.
-const MOVE_RETRY: Duration = Duration::from_millis(200);
+const MOVE_RETRY_DELAY: Duration = Duration::from_millis(200);
 
 /// Time after which a server is looked for again that a broken stream can go on at.
-const CHOICE_RETRY: Duration = Duration::from_millis(40);
+const CHOICE_RETRY_DELAY: Duration = Duration::from_millis(40);
 
 /// Counts a request by its outcome.
-pub fn count(context: &RelayContext, request: &RelayedRequest, outcome: &str) {
+pub fn count_outcome(context: &RelayContext, request: &RelayedRequest, outcome: &str) {
     let (route, outcome) = (request.route.name.to_string(), outcome.to_owned());
     context.metrics.requests.get_or_create(&AnswerLabels { route, outcome }).inc();
 }
@@ -45,17 +45,17 @@
     answer: Option<Answer>,
     /// Splits the stream if it can be resumed.
     splitter: Option<EventSplitter>,
-    sent_bytes: usize,
-    longest_pause: Duration,
+    forwarded_bytes: usize,
+    max_pause: Duration,
     last_data_at: Option<Instant>,
-    first_ms: u128,
-    is_over: bool,
+    first_answer_ms: u128,
+    is_ended: bool,
     /// When the stream may be moved off its server again, none before the first try.
     next_move_at: Option<Instant>,
 }
 
 /// Returns the answer for the caller, whose body is passed on as it arrives.
-pub fn answer(
+pub fn forward_stream(
     context: &Arc<RelayContext>,
     request: &Arc<RelayedRequest>,
     attempts: Attempts,
@@ -71,15 +71,15 @@
         attempts,
         answer: Some(received),
         splitter: is_resumable.then(EventSplitter::default),
-        sent_bytes: 0,
-        longest_pause: Duration::ZERO,
+        forwarded_bytes: 0,
+        max_pause: Duration::ZERO,
         last_data_at: None,
-        first_ms: request.age_ms(),
-        is_over: false,
+        first_answer_ms: request.age_ms(),
+        is_ended: false,
         next_move_at: None,
     };
     let frames = unfold(relayed, |mut relayed| async move {
-        let data = relayed.next().await?;
+        let data = relayed.next_data().await?;
         Some((data.map(Frame::data), relayed))
     });
     let mut reply = Response::new(StreamBody::new(frames).boxed_unsync());
@@ -90,30 +90,30 @@
 
 impl RelayedStream {
     /// Returns what the caller gets next, none at the end of a complete stream.
-    async fn next(&mut self) -> Option<Result<Bytes, BrokenBody>> {
-        while !self.is_over {
-            if self.is_evicted() {
-                self.move_on().await;
+    async fn next_data(&mut self) -> Option<Result<Bytes, BrokenBody>> {
+        while !self.is_ended {
+            if self.should_move() {
+                self.try_move().await;
             }
             let deadline = self.read_deadline();
             let Some(answer) = self.answer.as_mut() else {
-                return Some(Err(self.break_off("no_server_goes_on")));
+                return Some(Err(self.abort("no_server_goes_on")));
             };
             match answer.exchange.next_data(deadline).await {
                 Ok(Some(data)) => {
-                    answer.ticket.note_heard();
-                    match self.whole_events(data) {
+                    answer.in_flight.record_contact();
+                    match self.take_whole_events(data) {
                         Ok(events) if events.is_empty() => {}
-                        Ok(events) => return Some(Ok(self.count_data(events))),
-                        Err(BrokenBody) => return Some(Err(self.break_off("event_too_long"))),
+                        Ok(events) => return Some(Ok(self.record_data(events))),
+                        Err(BrokenBody) => return Some(Err(self.abort("event_too_long"))),
                     }
                 }
-                Ok(None) => return self.complete().map(Ok),
+                Ok(None) => return self.finish().map(Ok),
                 Err(error) => {
-                    if !self.resume(&error).await {
+                    if !self.resume_after(&error).await {
                         let is_late = Instant::now() >= self.request.deadline;
                         let reason = if is_late { "time_over" } else { "server_broke_off" };
-                        return Some(Err(self.break_off(reason)));
+                        return Some(Err(self.abort(reason)));
                     }
                 }
             }
@@ -125,111 +125,114 @@
         if !self.may_resume() {
             return self.request.deadline;
         }
-        self.request.deadline.min(Instant::now() + STREAM_SILENCE)
+        self.request.deadline.min(Instant::now() + MAX_STREAM_SILENCE)
     }
 
     fn may_resume(&self) -> bool {
-        self.splitter.is_some() && self.attempts.sent < self.request.route.max_attempts
+        self.splitter.is_some() && self.attempts.possible_runs < self.request.route.max_attempts
     }
 
-    fn whole_events(&mut self, data: Bytes) -> Result<Bytes, BrokenBody> {
+    fn take_whole_events(&mut self, data: Bytes) -> Result<Bytes, BrokenBody> {
         match &mut self.splitter {
             None => Ok(data),
             Some(splitter) => splitter.push(&data).map_err(|_| BrokenBody),
         }
     }
 
-    fn count_data(&mut self, data: Bytes) -> Bytes {
+    fn record_data(&mut self, data: Bytes) -> Bytes {
         let now = Instant::now();
         if let Some(last) = self.last_data_at {
-            self.longest_pause = self.longest_pause.max(now.saturating_duration_since(last));
+            self.max_pause = self.max_pause.max(now.saturating_duration_since(last));
         }
         self.last_data_at = Some(now);
-        self.sent_bytes += data.len();
+        self.forwarded_bytes += data.len();
         data
     }
 
     /// Ends a complete stream; returns what the server sent behind its last whole event.
-    fn complete(&mut self) -> Option<Bytes> {
-        self.is_over = true;
-        if let Some(Answer { exchange, facts, ticket }) = self.answer.take() {
-            keep(&self.context, exchange, &facts);
-            self.log("complete", &ticket.server);
+    fn finish(&mut self) -> Option<Bytes> {
+        self.is_ended = true;
+        if let Some(Answer { exchange, facts, in_flight }) = self.answer.take() {
+            return_to_pool(&self.context, exchange, &facts);
+            self.log_outcome("complete", &in_flight.server);
         }
         let rest = self.splitter.as_mut().map(EventSplitter::take_partial);
         rest.filter(|rest| !rest.is_empty())
     }
 
-    fn break_off(&mut self, reason: &str) -> BrokenBody {
-        self.is_over = true;
-        let server = self.answer.take().map(|answer| answer.ticket.server.clone());
+    fn abort(&mut self, reason: &str) -> BrokenBody {
+        self.is_ended = true;
+        let server = self.answer.take().map(|answer| answer.in_flight.server.clone());
         log::info!("event=stream_broken request={} reason={reason}", self.request.id);
-        self.log("broken", server.as_deref().unwrap_or("none"));
+        self.log_outcome("broken", server.as_deref().unwrap_or("none"));
         BrokenBody
     }
 
     /// Whether the stream is to leave its server, and can.
-    fn is_evicted(&self) -> bool {
+    fn should_move(&self) -> bool {
         let Some(answer) = self.answer.as_ref().filter(|_| self.may_resume()) else { return false };
         if self.next_move_at.is_some_and(|at| Instant::now() < at) {
             return false;
         }
         let has_begun = self.splitter.as_ref().is_some_and(|s| s.last_event_id().is_some());
         let fleet = self.context.fleet();
-        let server = fleet.server(&answer.ticket.server);
+        let server = fleet.server(&answer.in_flight.server);
         has_begun && server.is_some_and(|server| server.is_evicted(Instant::now()))
     }
 
     /// Goes on at another server, if one takes the stream; until then this one keeps it.
-    async fn move_on(&mut self) {
+    async fn try_move(&mut self) {
         let Some(splitter) = &self.splitter else { return };
         let last_event_id = splitter.last_event_id().cloned();
         let now = Instant::now();
-        self.next_move_at = Some(now + MOVE_RETRY);
-        let Ok(choice) = choose(&self.context, &self.request, &self.attempts).await else { return };
+        self.next_move_at = Some(now + MOVE_RETRY_DELAY);
+        let Ok(choice) = choose_server(&self.context, &self.request, &self.attempts).await else {
+            return;
+        };
         if !self.attempts.try_resend(&self.context, &self.request, "evicted") {
             return;
         }
-        let give_up_at = self.request.deadline.min(now + STREAM_SILENCE);
+        let resume_deadline = self.request.deadline.min(now + MAX_STREAM_SILENCE);
         // The run before ends with its answer, as soon as the next one has begun.
-        if self.send_on(&choice, last_event_id, give_up_at).await {
-            self.drop_rest();
+        if self.continue_at(&choice, last_event_id, resume_deadline).await {
+            self.drop_partial_event();
         }
     }
 
     /// Goes on at another server after the last whole event; returns whether that worked.
-    async fn resume(&mut self, error: &PeerError) -> bool {
-        let broken = self.answer.take();
-        if let Some(answer) = &broken {
-            answer.ticket.note_outcome(false, 0.0);
+    async fn resume_after(&mut self, error: &PeerError) -> bool {
+        let interrupted = self.answer.take();
+        if let Some(answer) = &interrupted {
+            answer.in_flight.record_outcome(false, 0.0);
         }
-        drop(broken);
+        drop(interrupted);
         log::info!("event=stream_cut request={} {error}", self.request.id);
         let Some(splitter) = &mut self.splitter else { return false };
         let last_event_id = splitter.last_event_id().cloned();
-        self.drop_rest();
-        self.go_on(last_event_id).await
+        self.drop_partial_event();
+        self.resume_elsewhere(last_event_id).await
     }
 
     /// Drops what came behind the last whole event of a run that does not go on.
-    fn drop_rest(&mut self) {
+    fn drop_partial_event(&mut self) {
         if let Some(splitter) = &mut self.splitter {
             splitter.take_partial();
         }
     }
 
     /// Sends the request to further servers until one goes on after `last_event_id`.
-    async fn go_on(&mut self, last_event_id: Option<SmolStr>) -> bool {
-        let give_up_at = self.request.deadline.min(Instant::now() + STREAM_SILENCE);
-        while Instant::now() < give_up_at {
-            let Ok(choice) = choose(&self.context, &self.request, &self.attempts).await else {
-                Timer::after(CHOICE_RETRY).await;
+    async fn resume_elsewhere(&mut self, last_event_id: Option<SmolStr>) -> bool {
+        let resume_deadline = self.request.deadline.min(Instant::now() + MAX_STREAM_SILENCE);
+        while Instant::now() < resume_deadline {
+            let Ok(choice) = choose_server(&self.context, &self.request, &self.attempts).await
+            else {
+                Timer::after(CHOICE_RETRY_DELAY).await;
                 continue;
             };
             if !self.attempts.try_resend(&self.context, &self.request, "resume") {
                 return false;
             }
-            if self.send_on(&choice, last_event_id.clone(), self.request.deadline).await {
+            if self.continue_at(&choice, last_event_id.clone(), self.request.deadline).await {
                 return true;
             }
         }
@@ -237,27 +240,28 @@
     }
 
     /// Sends the request to `choice`; returns whether its answer is the stream's from now on.
-    async fn send_on(
+    async fn continue_at(
         &mut self,
         choice: &Choice,
         last_event_id: Option<SmolStr>,
-        give_up_at: Instant,
+        resume_deadline: Instant,
     ) -> bool {
-        let is_last = self.attempts.is_next_last(&self.request.route);
+        let is_last_attempt = self.attempts.is_next_last(&self.request.route);
         self.attempts.tried.push(choice.server.clone());
-        let sent = attempt::send(&self.context, &self.request, choice, last_event_id, is_last);
-        let Ok(end) = within(give_up_at, sent).await else {
-            self.attempts.sent += 1;
+        let sent =
+            attempt::send(&self.context, &self.request, choice, last_event_id, is_last_attempt);
+        let Ok(outcome) = within(resume_deadline, sent).await else {
+            self.attempts.possible_runs += 1;
             return false;
         };
-        self.attempts.count(&end);
-        match end {
-            AttemptEnd::Answered(answer) if answer.exchange.status.is_success() => {
+        self.attempts.record(&outcome);
+        match outcome {
+            AttemptOutcome::Answered(answer) if answer.exchange.status.is_success() => {
                 self.answer = Some(*answer);
                 self.context.metrics.resumed_streams.inc();
                 true
             }
-            AttemptEnd::NotRun(NotRunReason::Full) => {
+            AttemptOutcome::NotRun(NotRunReason::Full) => {
                 // It has room again once a request ends; the choice avoids it until then.
                 self.attempts.tried.pop();
                 false
@@ -266,17 +270,17 @@
         }
     }
 
-    fn log(&self, outcome: &str, server: &str) {
-        count(&self.context, &self.request, outcome);
+    fn log_outcome(&self, outcome: &str, server: &str) {
+        count_outcome(&self.context, &self.request, outcome);
         log::info!(
             "event=answered request={} route={} outcome={outcome} server={server} first_ms={} \
              bytes={} longest_pause_ms={} attempts={} age_ms={}",
             self.request.id,
             self.request.route.name,
-            self.first_ms,
-            self.sent_bytes,
-            self.longest_pause.as_millis(),
-            self.attempts.sent,
+            self.first_answer_ms,
+            self.forwarded_bytes,
+            self.max_pause.as_millis(),
+            self.attempts.possible_runs,
             self.request.age_ms()
         );
     }
@@ -285,7 +289,7 @@
 impl Drop for RelayedStream {
     fn drop(&mut self) {
         if let Some(answer) = self.answer.take() {
-            self.log("left", &answer.ticket.server);
+            self.log_outcome("left", &answer.in_flight.server);
         }
     }
 }
