--- a/src/relay/attempt.rs
+++ b/src/relay/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt: a request at one server, up to the head of the answer.
+//! One attempt of a request: sends it to a server and receives the head of the answer.
 
 use super::RelayContext;
 use super::control::RelayControlEvent;
@@ -20,22 +20,23 @@
 use std::time::{Duration, Instant};
 use strum::Display;
 
-/// Time for which a server that rejected a request as full gets no further ones.
+/// Time for which a server that rejected a request as full gets no new ones.
 const FULL_PERIOD: Duration = Duration::from_millis(120);
 
-/// Period in which a repeatable request looks whether its server has fallen silent.
+/// Period at which a retryable request checks whether its server is silent or slow.
 const SERVER_CHECK_PERIOD: Duration = Duration::from_millis(100);
 
-/// Latency objectives after which an idempotent request is given to another server.
+/// Number of latency objectives after which a server counts as slow for a request other than a
+/// stream.
 const SLOW_AFTER_OBJECTIVES: u32 = 2;
 
-/// How an attempt ended.
+/// Outcome of an attempt.
 pub enum AttemptOutcome {
-    /// The server answered; the answer may say that it failed.
+    /// The server answered, possibly with a failure.
     Answered(Box<Answer>),
     /// The server did not run the request and never will.
     NotRun(NotRunReason),
-    /// Nothing reached the server.
+    /// The request did not reach the server.
     NotSent(PeerError),
     /// The server may have run the request.
     Unknown(PeerError),
@@ -45,31 +46,33 @@
 #[derive(Clone, Copy, Debug, Display, Eq, PartialEq)]
 #[strum(serialize_all = "snake_case")]
 pub enum NotRunReason {
-    /// It was full or changed its weights.
+    /// The server was full or was replacing its weights.
     Full,
-    /// Another server answers at the address.
+    /// Another server listens at the address.
     Misdirected,
-    /// It holds other weights.
+    /// The server has loaded other weights.
     OtherWeights,
 }
 
 /// Answer whose head has arrived.
 pub struct Answer {
-    /// Exchange with the server.
+    /// Exchange from which the body can be read.
     pub exchange: PooledExchange,
-    /// What the head says.
+    /// Contents of the head.
     pub facts: AnswerFacts,
-    /// Place that the request takes at the server.
+    /// The attempt, which counts towards the load of the server.
     pub in_flight: InFlightAttempt,
 }
 
-/// Place that a request takes at a server, until it is dropped.
+/// Attempt that counts towards the load of its server until dropped.
 pub struct InFlightAttempt {
     context: Arc<RelayContext>,
-    /// Server.
+    /// Server that the request was sent to.
     pub server: ServerId,
+    /// Number of the attempt.
     attempt: u64,
     load: ServerLoad,
+    /// Whether the prompt has been prefilled.
     is_prefilled: bool,
 }
 
@@ -99,7 +102,7 @@
         Self { context, server, attempt, load, is_prefilled: false }
     }
 
-    /// Takes in a sign of the server.
+    /// Records that the server sent something. The first time, the prompt counts as prefilled.
     pub fn record_contact(&mut self) {
         let mut fleet = self.context.fleet();
         if let Some(server) = fleet.server_mut(&self.server) {
@@ -112,7 +115,8 @@
         }
     }
 
-    /// Takes in whether the server did what it was asked, and how much later than expected.
+    /// Records whether the server succeeded, and how many milliseconds later than expected it
+    /// answered.
     pub fn record_outcome(&self, succeeded: bool, delay_ms: f64) {
         if let Some(server) = self.context.fleet().server_mut(&self.server) {
             server.health.record_outcome(succeeded, delay_ms, Instant::now());
@@ -127,6 +131,9 @@
 }
 
 /// Sends `request` to the chosen server and waits for the head of its answer.
+///
+/// Unless it is the last attempt, a retryable request stops waiting when the server is silent or
+/// slow.
 pub async fn send(
     context: &Arc<RelayContext>,
     request: &RelayedRequest,
@@ -208,7 +215,7 @@
     outgoing
 }
 
-/// Ends when the server has fallen silent or takes longer than another one would.
+/// Returns an error once the server is silent, or too slow for a request other than a stream.
 async fn watch_server<T>(
     context: &RelayContext,
     request: &RelayedRequest,
@@ -230,6 +237,7 @@
     }
 }
 
+/// Records a failed attempt and returns its outcome.
 fn handle_failure(
     context: &RelayContext,
     request: &RelayedRequest,
@@ -253,6 +261,7 @@
     AttemptOutcome::Unknown(error)
 }
 
+/// Closes the connections to a server and sends it no requests for a while.
 fn suspend_server(context: &RelayContext, choice: &Choice) {
     context.pool.close_server(&choice.server);
     let now = Instant::now();
@@ -267,7 +276,8 @@
     log::info!("event=server_suspended server={} for_ms={for_ms}", choice.server);
 }
 
-/// Has the control thread look whether the server crashed, and counts that against the request.
+/// Makes the control thread check whether the server crashed; a crash is a strike against the
+/// request.
 pub fn request_crash_check(context: &RelayContext, request: &RelayedRequest, choice: &Choice) {
     let incarnation = context.fleet().server(&choice.server).and_then(|s| s.entry.started_unix_ms);
     context.notify_control(RelayControlEvent::ExchangeCut {
@@ -278,6 +288,7 @@
     });
 }
 
+/// Records the weights that the answer reports, if they are not the expected ones.
 fn update_weights(
     context: &RelayContext,
     request: &RelayedRequest,
@@ -297,11 +308,12 @@
     }
 }
 
-/// Whether another server answers at the address.
+/// Whether another server listens at the address.
 fn is_misdirected(choice: &Choice, facts: &AnswerFacts) -> bool {
     facts.server.as_ref().is_some_and(|server| *server != choice.server)
 }
 
+/// Records why the server did not run the request, so that the next choice avoids it.
 fn record_not_run(
     context: &RelayContext,
     request: &RelayedRequest,
@@ -331,7 +343,7 @@
     NotRunReason::Full
 }
 
-/// Returns an error if the answer cannot be the server's answer to this request.
+/// Returns an error if the answer cannot be the answer of a server that ran this request.
 fn find_answer_fault(
     request: &RelayedRequest,
     choice: &Choice,
@@ -342,11 +354,11 @@
     let fault = if facts.request_id.as_ref() != Some(&request.id) {
         "the answer belongs to another request"
     } else if status.is_success() && !facts.is_signed {
-        "the answer bears no signature"
+        "the answer is not signed"
     } else if facts.is_encoded {
         "the answer is encoded"
     } else if promises_no_run || status.is_informational() {
-        "the status does not fit a request that was run"
+        "the status contradicts that the request was run"
     } else {
         return None;
     };
--- a/src/relay/buffered_answer.rs
+++ b/src/relay/buffered_answer.rs
@@ -1,4 +1,4 @@
-//! Answers that are passed on whole.
+//! Answers that are read completely before they are forwarded.
 
 use super::RelayContext;
 use super::attempt::Answer;
@@ -12,20 +12,20 @@
 use http::Response;
 use std::time::{Duration, Instant};
 
-/// Largest answer that is held in memory.
+/// Maximum size of a buffered answer.
 const MAX_ANSWER_BYTES: usize = 4 * 1024 * 1024;
 
-/// Idle time after which a connection is not used again if its server names none.
+/// Idle time after which a connection is not reused, if the server announces no keep-alive timeout.
 const DEFAULT_IDLE_PERIOD: Duration = Duration::from_millis(500);
 
-/// Time before a server closes an idle connection from which it is not used again.
+/// Time before the announced keep-alive timeout from which a connection is not reused.
 const IDLE_MARGIN: Duration = Duration::from_millis(300);
 
-/// Reads the whole answer and returns it for the caller.
+/// Reads the complete answer and returns it for the caller.
 ///
 /// # Errors
 ///
-/// The answer broke off.
+/// An answer that ends early, is too large or misses the deadline.
 pub async fn forward_buffered(
     context: &RelayContext,
     request: &RelayedRequest,
@@ -57,7 +57,7 @@
     Ok(reply)
 }
 
-/// Keeps the connection of a complete answer for later requests.
+/// Returns the connection of a complete answer to the pool, unless the server closes it.
 pub fn return_to_pool(context: &RelayContext, exchange: PooledExchange, facts: &AnswerFacts) {
     if facts.closes {
         return;
--- a/src/relay/context.rs
+++ b/src/relay/context.rs
@@ -1,4 +1,4 @@
-//! What the parts of a relay node share.
+//! State shared by the threads of a relay node.
 
 use super::control::RelayControlEvent;
 use super::metrics::RelayMetrics;
@@ -13,50 +13,51 @@
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
-/// Ports through which a relay node meets its site.
+/// Adapters of a relay node to its site.
 #[derive(Clone)]
 pub struct RelayPorts {
-    /// Translator of headers and records.
+    /// Translates headers and records.
     pub dialect: Arc<dyn Dialect>,
-    /// Store of records.
+    /// Client of the record store.
     pub store: Arc<dyn CoordinationStore>,
-    /// Engines.
+    /// Client for reports and orders of engines.
     pub engines: Arc<dyn EngineControl>,
 }
 
-/// Shared parts of a relay node.
+/// State shared by the traffic and control threads.
 pub struct RelayContext {
     /// Settings.
     pub settings: RelaySettings,
     /// Ports.
     pub ports: RelayPorts,
-    /// Configuration in force, none before the first.
+    /// Configuration in force, `None` until one is known.
     pub configuration: ArcSwapOption<Configuration>,
-    /// Limits of the callers' listener.
+    /// Limits of the callers' listener, replaced with each configuration.
     pub caller_limits: Arc<ArcSwap<ServerLimits>>,
-    /// Connections to servers.
+    /// Connections to servers and to the record store.
     pub pool: Arc<ConnectionPool>,
     /// Metrics.
     pub metrics: RelayMetrics,
-    /// Way to the control thread.
+    /// Queue of events for the control thread.
     pub control_events: Sender<RelayControlEvent>,
-    /// Whether the node stops.
+    /// Whether the node is stopping.
     pub is_stopping: AtomicBool,
-    /// Whether servers were listed once.
+    /// Whether the list of servers is known.
     pub has_server_list: AtomicBool,
     pub(super) fleet: Mutex<Fleet>,
     pub(super) resend_budget: Mutex<ResendBudget>,
     pub(super) poison: Mutex<PoisonState>,
+    /// Next number of an attempt or of a partner link.
     pub(super) next_number: AtomicU64,
 }
 
 impl RelayContext {
-    /// Locks the servers.
+    /// Locks the state of the servers.
     pub fn fleet(&self) -> MutexGuard<'_, Fleet> {
         self.fleet.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Locks the budget of resends.
+    /// Locks the resend budget.
     pub fn resend_budget(&self) -> MutexGuard<'_, ResendBudget> {
         self.resend_budget.lock().unwrap_or_else(PoisonError::into_inner)
     }
@@ -66,14 +67,14 @@
         self.poison.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Whether the node should get new connections.
+    /// Whether the node is ready for new connections.
     pub fn is_ready(&self) -> bool {
         let is_configured =
             self.configuration.load().is_some() && self.has_server_list.load(Ordering::Acquire);
         is_configured && !self.is_stopping.load(Ordering::Acquire)
     }
 
-    /// Tells the control thread of an event; one that it has no room for is dropped.
+    /// Sends an event to the control thread; drops it if the queue is full.
     pub(super) fn notify_control(&self, event: RelayControlEvent) {
         if self.control_events.try_send(event).is_err() {
             log::warn!("event=control_event_dropped reason=queue_full");
--- a/src/relay/control/crashes.rs
+++ b/src/relay/control/crashes.rs
@@ -1,4 +1,4 @@
-//! Requests that crash servers: confirms crashes and shares the strikes with partners.
+//! Poison requests: confirms crashes of servers and shares the strikes with partners.
 
 use super::RelayControlEvent;
 use super::state::ControlState;
@@ -13,17 +13,17 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// Looks whether a server crashed.
+/// Maximum connection attempts that check whether a server crashed.
 const MAX_CHECKS: u32 = 3;
 
-/// Time between two looks.
+/// Time between two connection attempts.
 const CHECK_PERIOD: Duration = Duration::from_millis(60);
 
-/// Time that one look may take.
+/// Timeout of one connection attempt.
 const CHECK_TIMEOUT: Duration = Duration::from_millis(300);
 
 impl ControlState {
-    /// Looks whether a server that broke off an exchange crashed.
+    /// Checks whether a server crashed that cut the connection during a request.
     pub(super) fn check_crash(
         &self,
         server: ServerId,
@@ -35,7 +35,7 @@
         self.spawn(confirm_crash(Arc::clone(&self.context), strike, address));
     }
 
-    /// Adds strikes and passes new ones on.
+    /// Adds strikes received from `source`, `None` for this node's own, and forwards new ones.
     pub(super) fn add_strikes(
         &mut self,
         source: Option<&InstanceId>,
@@ -58,6 +58,8 @@
     }
 }
 
+/// Sends an event if the server refuses connections: it crashed, since nothing listens at its
+/// address.
 async fn confirm_crash(context: Arc<RelayContext>, strike: Strike, address: SocketAddr) {
     for _ in 0..MAX_CHECKS {
         let deadline = Instant::now() + CHECK_TIMEOUT;
--- a/src/relay/control/follow.rs
+++ b/src/relay/control/follow.rs
@@ -1,4 +1,5 @@
-//! Follows the topics of the store, and announces the node there.
+//! Tasks that read the record store: they follow its topics, announce this node and discover other
+//! nodes.
 
 use super::RelayControlEvent;
 use super::state::ControlState;
@@ -16,19 +17,20 @@
 use std::time::{Duration, Instant};
 use strum::IntoEnumIterator;
 
-/// Longest time without a look whether the topic is to be read: partners come and go meanwhile.
+/// Maximum time between two checks whether a topic must be read, since the schedule changes as
+/// partners connect and disconnect.
 const SCHEDULE_POLL_PERIOD: Duration = Duration::from_millis(200);
 
-/// First wait after a failed call.
+/// Delay after the first failed call.
 const MIN_RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// Longest wait after failed calls.
+/// Maximum delay after consecutive failed calls.
 const MAX_RETRY_DELAY: Duration = Duration::from_millis(800);
 
-/// Period in which a node without a partner looks for announced nodes again.
+/// Period at which a node without partner links reads the announced nodes.
 const DISCOVERY_PERIOD: Duration = Duration::from_secs(10);
 
-/// Starts the tasks.
+/// Starts the tasks on the control thread.
 pub(super) fn start(state: &ControlState, partner_address: SocketAddr) {
     for topic in RecordTopic::iter() {
         state.spawn(follow_topic(
@@ -41,10 +43,12 @@
     state.spawn(announce_and_discover(Arc::clone(&state.context), name, partner_address));
 }
 
-/// Wait between failed calls, and whether the store counts as lost.
+/// Exponential delay between failed calls of one kind.
 struct Backoff {
+    /// Name of the call in logs and metrics.
     call: &'static str,
     delay: Duration,
+    /// Whether the last call failed.
     is_lost: bool,
 }
 
@@ -120,7 +124,8 @@
     Ok(end)
 }
 
-/// Reads on from `offset`; returns where to go on, or none if the topic is to be listed again.
+/// Reads records from `offset` on; returns the next offset, `None` if the topic must be listed
+/// again.
 async fn read_topic(
     context: &RelayContext,
     topic: RecordTopic,
@@ -135,7 +140,7 @@
             Ok(None)
         }
         RecordPage::Records { records, next_offset } => {
-            // Without a record the store has waited to the end.
+            // Without records the store has waited until `wait_until`.
             let confirmed_at = if records.is_empty() { wait_until } else { requested_at };
             let event =
                 RelayControlEvent::RecordsRead { topic, records, next_offset, confirmed_at };
@@ -145,7 +150,7 @@
     }
 }
 
-/// Announces the node once, and looks for other nodes until it has partners.
+/// Announces this node once, then reads the announced nodes whenever it has no partner links.
 async fn announce_and_discover(context: Arc<RelayContext>, name: SmolStr, address: SocketAddr) {
     let node = AnnouncedNode { name, address };
     let mut backoff = Backoff::new("announce");
--- a/src/relay/control/kv_store.rs
+++ b/src/relay/control/kv_store.rs
@@ -1,4 +1,4 @@
-//! Watches the store of kept KV cache: whether it answers, and whether it lost what it kept.
+//! Polls the external store of KV cache: whether it answers, and whether it lost its contents.
 
 use super::RelayControlEvent;
 use crate::relay::RelayContext;
@@ -9,16 +9,16 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// Time that a look may take, the wait at the store included.
+/// Timeout of a poll, including the time that the store itself waits for changes.
 const POLL_TIMEOUT: Duration = Duration::from_millis(1_600);
 
-/// Time between two looks at a store that answers.
+/// Period at which a store that answers is polled.
 const POLL_PERIOD: Duration = Duration::from_millis(1_500);
 
-/// Wait before the next look after a failed one, or while there is no such store.
+/// Delay after a failed poll, and between checks whether a store is configured.
 const RETRY_PERIOD: Duration = Duration::from_millis(300);
 
-/// Watches the store whose address is in `configured`, without end.
+/// Polls the store at the address in `configured` and sends an event when its state changes.
 pub(super) async fn watch(context: Arc<RelayContext>, configured: Rc<Cell<Option<SocketAddr>>>) {
     let mut known_run: Option<(SocketAddr, u64)> = None;
     let mut since = 0;
--- a/src/relay/control/loads.rs
+++ b/src/relay/control/loads.rs
@@ -1,4 +1,4 @@
-//! Sends and receives loads, as the exchange of loads decides.
+//! Sends and receives load messages.
 
 use super::state::ControlState;
 use crate::decision::relay::load_exchange::RelayLoad;
@@ -7,14 +7,14 @@
 use std::time::Instant;
 
 impl ControlState {
-    /// Tells the neighbours of the requests at the servers if that is due.
+    /// Sends the load to the neighbours if a round is due.
     pub(super) fn tick_loads(&mut self, now: Instant) {
         if self.loads.start_round_if_due(self.rollout.is_active(), now) {
             self.send_load(now);
         }
     }
 
-    /// Tells the neighbours of the requests at the servers.
+    /// Sends the load to the neighbours that do not have it yet.
     pub(super) fn send_load(&mut self, now: Instant) {
         let mut fleet = self.context.fleet();
         self.loads.queue_new_prefixes(&mut fleet);
@@ -31,7 +31,7 @@
         }
     }
 
-    /// Takes in the load that a partner told.
+    /// Applies a load received from a partner.
     pub(super) fn apply_load(&mut self, peer: &InstanceId, load: &RelayLoad, now: Instant) {
         let live_nodes = u32::try_from(self.partners.live_instances().len()).unwrap_or(u32::MAX);
         let mut fleet = self.context.fleet();
--- a/src/relay/control/mod.rs
+++ b/src/relay/control/mod.rs
@@ -1,5 +1,5 @@
-//! The control thread of a relay node: one loop applies events to the control state; tasks on the
-//! same thread do the exchanges and send what they learn.
+//! Control thread of a relay node. One loop applies events to the control state; tasks on the same
+//! thread call the store, servers and partners and send the results as events.
 
 mod crashes;
 mod follow;
@@ -27,7 +27,7 @@
 use std::net::SocketAddr;
 use std::time::Instant;
 
-/// Event of the control thread.
+/// Event that the control thread handles.
 #[derive(Debug)]
 pub enum RelayControlEvent {
     /// A topic was listed.
@@ -36,31 +36,31 @@
         topic: RecordTopic,
         /// Listing.
         listing: TopicListing,
-        /// When the listing was asked for.
+        /// When the listing was requested.
         requested_at: Instant,
     },
-    /// Records followed a known offset.
+    /// Records after a known offset were read.
     RecordsRead {
         /// Topic.
         topic: RecordTopic,
         /// Records.
         records: Vec<KeyedRecord>,
-        /// Offset after them.
+        /// Offset of the next record.
         next_offset: LogOffset,
-        /// When the store held nothing beyond them.
+        /// Time at which the store had no later records.
         confirmed_at: Instant,
     },
-    /// Nodes that announced themselves.
+    /// Announced nodes were read from the store.
     NodesAnnounced(Vec<AnnouncedNode>),
-    /// A link was opened and its peer authenticated.
+    /// A partner link was opened and its peer authenticated.
     LinkOpened {
         /// Number of the link.
         link: u64,
-        /// Record that the peer gave of itself.
+        /// Member record that the peer sent about itself.
         peer: MemberRecord,
-        /// Whether this node dialed.
+        /// Whether this node opened the link.
         dialed: bool,
-        /// Way to the link's connection.
+        /// Queue of encoded messages to the peer.
         outgoing: Sender<Bytes>,
     },
     /// A partner sent a message.
@@ -70,66 +70,66 @@
         /// Message.
         message: ReceivedMessage,
     },
-    /// A link ended.
+    /// A partner link ended.
     LinkEnded {
         /// Number of the link.
         link: u64,
         /// How it ended.
         end: LinkEnd,
     },
-    /// A link could not be opened.
+    /// A partner link to the address could not be opened.
     DialFailed(SocketAddr),
-    /// Prefixes were saved to the store of kept KV cache.
+    /// A server saved prefixes to the external store of KV cache.
     PrefixesStored,
-    /// A server broke off an exchange.
+    /// A server cut the connection during a request.
     ExchangeCut {
         /// Server.
         server: ServerId,
-        /// Its address.
+        /// Address of the server.
         address: SocketAddr,
-        /// Run of the server.
+        /// Incarnation of the server.
         incarnation: Incarnation,
-        /// Request that it had.
+        /// Fingerprint of the request.
         fingerprint: Fingerprint,
     },
-    /// A server crashed while it had a request.
+    /// A server crashed while running a request.
     ServerCrashed(Strike),
-    /// A server reported its weights.
+    /// A request for a report of weights has ended.
     ReportEnded {
-        /// Model whose rollout asked.
+        /// Model of the rollout.
         model: ModelId,
         /// Server.
         server: ServerId,
-        /// Report.
+        /// Report or error.
         report: PeerResult<WeightsReport>,
     },
-    /// A server answered an order.
+    /// An order to a server has ended.
     OrderEnded {
-        /// Model whose rollout ordered.
+        /// Model of the rollout.
         model: ModelId,
         /// Server.
         server: ServerId,
         /// Fencing number of the order.
         fencing_number: FencingNumber,
-        /// Answer.
+        /// Outcome.
         outcome: WeightsOrderOutcome,
     },
-    /// The lease register was read.
+    /// A read of the lease register has ended.
     RegisterRead(PeerResult<RegisterRecord>),
-    /// The lease register was replaced.
+    /// A replacement of the lease record has ended.
     RegisterReplaced {
         /// When the call was sent.
         sent_at: Instant,
         /// Outcome.
         outcome: PeerResult<Replacement>,
     },
-    /// The store of kept KV cache answered, or not.
+    /// The external store of KV cache became available or unavailable, or lost its contents.
     KvStoreChanged {
-        /// Its address while it answers.
+        /// Address of the store, `None` while it does not answer.
         address: Option<SocketAddr>,
-        /// Whether what it kept is lost.
+        /// Whether the stored KV cache is lost.
         is_emptied: bool,
     },
-    /// The node stops.
+    /// The node is stopping.
     NodeStopping,
 }
--- a/src/relay/control/partners.rs
+++ b/src/relay/control/partners.rs
@@ -1,4 +1,4 @@
-//! Partner links of a relay node: records, loads, strikes and rollouts go over them.
+//! Partner links of a relay node, which carry records, loads, strikes and rollout notices.
 
 use super::RelayControlEvent;
 use super::records::RecordSource;
@@ -28,40 +28,43 @@
 use std::time::{Duration, Instant};
 use strum::IntoEnumIterator;
 
-/// Messages that may wait for a link's connection.
+/// Maximum messages that wait to be sent over a link.
 const MAX_QUEUED_MESSAGES: usize = 64;
 
-/// Period in which a node tells its partners how recent its records are.
+/// Period at which a node sends its partners a digest of its topics.
 const DIGEST_PERIOD: Duration = Duration::from_millis(300);
 
-/// Time for which the answer to a request for records is waited for.
+/// Time after which an unanswered request for records may be repeated.
 const RECORDS_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// Time to wait after a connection could not be accepted.
+/// Delay after a connection could not be accepted.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// Bytes of keyed records in one message at most.
+/// Maximum bytes of record values in one message.
 const MAX_DELTA_BYTES: usize = MESSAGE_LIMIT_BYTES / 2;
 
-/// Links and membership.
+/// Partner links and membership of a node.
 pub(super) struct Partners {
     membership: MembershipState,
     identity: Rc<RefCell<Identity>>,
     links: LinkTable,
     /// Live nodes, this one included.
     live: Vec<InstanceId>,
-    /// Changes of the membership that are taken into account.
+    /// Change count of the membership when its changes were last applied, `None` before the first
+    /// time.
     applied_changes: Option<u64>,
-    /// Highest number of live nodes seen; the shares of a site's allowances go by it.
+    /// Highest number of live nodes so far; divides the resend allowance and the store link among
+    /// nodes.
     max_live_nodes: u32,
     next_digest_at: Instant,
+    /// Whether records changed since the last digest.
     has_new_records: bool,
-    /// Offsets up to which records were requested, and until when they are waited for.
+    /// Offset below which records were requested, and when that request times out, by topic.
     pending_requests: BTreeMap<RecordTopic, (LogOffset, Instant)>,
 }
 
 impl Partners {
-    /// Returns the partners of a node that has just started.
+    /// Returns the state of a node without partners.
     pub(super) fn new(
         context: &RelayContext,
         instance: InstanceId,
@@ -88,17 +91,17 @@
         }
     }
 
-    /// Returns what links prove.
+    /// Returns the identity that this node presents on links.
     pub(super) fn identity(&self) -> Rc<RefCell<Identity>> {
         Rc::clone(&self.identity)
     }
 
-    /// Returns the highest number of live nodes seen.
+    /// Returns the highest number of live nodes so far.
     pub(super) fn max_live_nodes(&self) -> u32 {
         self.max_live_nodes
     }
 
-    /// Returns the live members with this node, in the order of their ids.
+    /// Returns the live nodes including this one, ordered by id.
     pub(super) fn live_instances(&self) -> &[InstanceId] {
         &self.live
     }
@@ -111,12 +114,12 @@
         all
     }
 
-    /// Whether there is a link to a node.
+    /// Whether a link to `peer` is open.
     pub(super) fn has_link(&self, peer: &InstanceId) -> bool {
         self.links.get(peer).is_some()
     }
 
-    /// Sends a message to a partner.
+    /// Sends a message to a partner; drops it if the queue of the link is full.
     pub(super) fn send(&self, to: &InstanceId, message: &PartnerMessage) {
         if self.links.send(to, message) == Sent::Dropped {
             log::warn!("event=link_message_dropped peer={to} kind={}", message.kind());
@@ -125,14 +128,14 @@
 }
 
 impl ControlState {
-    /// Sends a message to all partners but `source`.
+    /// Sends a message to all partners except `source`.
     pub(super) fn broadcast(&self, source: Option<&InstanceId>, message: &PartnerMessage) {
         for peer in self.partners.links.peers().filter(|peer| Some(*peer) != source) {
             self.partners.send(peer, message);
         }
     }
 
-    /// Takes in nodes that announced themselves.
+    /// Sets the addresses to dial: the announced nodes and the configured seed partners.
     pub(super) fn apply_announced(&mut self, nodes: &[AnnouncedNode], now: Instant) {
         let own = self.partners.membership.local_record().address;
         let announced = nodes.iter().map(|node| node.address);
@@ -145,7 +148,7 @@
         self.advance_membership(MembershipEvent::SeedAddresses(addresses), now);
     }
 
-    /// Adds a link unless another one to the same peer stays.
+    /// Adds a link unless another link to the same peer takes precedence.
     pub(super) fn open_link(
         &mut self,
         number: u64,
@@ -169,7 +172,7 @@
         }
     }
 
-    /// Takes in a message of a partner.
+    /// Handles a message from a partner.
     pub(super) fn receive_message(&mut self, number: u64, received: ReceivedMessage, now: Instant) {
         let Some(peer) = self.partners.links.peer(number).cloned() else { return };
         self.advance_membership(MembershipEvent::MessageReceived(peer.clone()), now);
@@ -199,7 +202,7 @@
         }
     }
 
-    /// Takes in the end of a link.
+    /// Handles the end of a link.
     pub(super) fn end_link(&mut self, number: u64, end: &LinkEnd, now: Instant) {
         let Some(peer) = self.partners.links.peer(number).cloned() else { return };
         let graceful = match end {
@@ -213,17 +216,17 @@
         self.advance_membership(MembershipEvent::LinkClosed { peer, graceful }, now);
     }
 
-    /// Takes in that a link could not be opened.
+    /// Handles a failure to open a link.
     pub(super) fn handle_failed_dial(&mut self, address: SocketAddr, now: Instant) {
         self.advance_membership(MembershipEvent::DialFailed(address), now);
     }
 
-    /// Tells partners that the node stops.
+    /// Notifies partners that this node is leaving.
     pub(super) fn leave_partners(&mut self, now: Instant) {
         self.advance_membership(MembershipEvent::Leave, now);
     }
 
-    /// Does the periodic work.
+    /// Runs the periodic work of membership and sends digests.
     pub(super) fn tick_partners(&mut self, now: Instant) {
         self.advance_membership(MembershipEvent::Tick, now);
         let is_digest_due = std::mem::take(&mut self.partners.has_new_records);
@@ -233,7 +236,7 @@
         }
     }
 
-    /// Has partners told of newer records with the next tick.
+    /// Schedules a digest for the next tick, since records have changed.
     pub(super) fn schedule_digest(&mut self) {
         self.partners.has_new_records = true;
     }
@@ -250,7 +253,7 @@
         RecordTopic::iter().map(digest).collect()
     }
 
-    /// Takes in what a partner knows, and asks it for what this node does not know yet.
+    /// Compares a partner's digests with the replica and requests the records that this node lacks.
     fn apply_digests(&mut self, peer: &InstanceId, digests: &[TopicDigest], now: Instant) {
         for &TopicDigest { topic, known_below, age_ms } in digests {
             let known = self.replica.known_below(topic);
@@ -273,7 +276,7 @@
         }
     }
 
-    /// Sends a partner what it lacks, in parts that fit into messages.
+    /// Sends a partner the records that it lacks, split into messages of limited size.
     fn send_records(&self, peer: &InstanceId, digest: TopicDigest) {
         let Some(mut delta) = self.replica.delta(digest.topic, digest.known_below) else { return };
         delta.records.sort_by_key(|record| record.offset);
@@ -290,7 +293,8 @@
             }
             let is_last = rest.peek().is_none();
             if !is_last {
-                // Only the last part makes the receiver's knowledge complete.
+                // A `from` beyond all offsets marks the delta as incomplete; only the last delta
+                // raises the offset below which the receiver knows all records.
                 delta.from = Some(u64::MAX);
             }
             self.partners.send(peer, &PartnerMessage::Records(Box::new(delta)));
@@ -324,6 +328,7 @@
         self.apply_membership_changes();
     }
 
+    /// Updates what depends on the live nodes: read schedule, load exchange, metrics and shares.
     fn apply_membership_changes(&mut self) {
         let links = i64::try_from(self.partners.links.peers().len()).unwrap_or(i64::MAX);
         self.context.metrics.links.set(links);
@@ -358,7 +363,7 @@
     }
 }
 
-/// Accepts partner links without end.
+/// Accepts and runs partner links until the thread stops.
 pub(super) async fn accept_links(
     context: Arc<RelayContext>,
     identity: Rc<RefCell<Identity>>,
@@ -368,7 +373,7 @@
     let accept = async {
         loop {
             match listener.accept().await {
-                // Nodes that still find the address in the store dial a node that has left them.
+                // Other nodes still find the address in the store and dial it after this node left.
                 Ok(_) if context.is_stopping.load(Ordering::Acquire) => {
                     log::debug!("event=link_refused reason=stopping");
                 }
--- a/src/relay/control/records.rs
+++ b/src/relay/control/records.rs
@@ -1,4 +1,5 @@
-//! Records of operators and servers: from the store and from partners into what traffic uses.
+//! Applies records of operators and servers, from the store and from partners, to the state that
+//! traffic uses.
 
 use super::state::ControlState;
 use crate::adapters::http_server::ServerLimits;
@@ -13,35 +14,35 @@
 use std::time::Instant;
 use strum::Display;
 
-/// Milliseconds beyond the idle limit for which a connection waits for the next head.
+/// Milliseconds added to the configured timeout of a request head.
 const IDLE_MARGIN_MS: u64 = 1_000;
 
-/// Way by which a record came.
+/// Where a record came from.
 #[derive(Clone, Debug, Display)]
 pub(super) enum RecordSource {
-    /// Listing of the store: it may have been written long ago.
+    /// Listing of the store; the record may be old.
     #[strum(to_string = "listing")]
     Listing,
-    /// The store, as it was written.
+    /// Read from the store soon after it was written.
     #[strum(to_string = "store")]
     Store,
-    /// Whole copy of a partner: it may have been written long ago.
+    /// Full copy from a partner; the record may be old.
     #[strum(to_string = "copy-of-{0}")]
     Copy(InstanceId),
-    /// A partner, as it learned of it.
+    /// Update from a partner soon after it was written.
     #[strum(to_string = "{0}")]
     Partner(InstanceId),
 }
 
 impl RecordSource {
-    /// Whether the age of the record is unknown.
+    /// Whether the record may be old.
     fn is_age_unknown(&self) -> bool {
         matches!(self, Self::Listing | Self::Copy(_))
     }
 }
 
 impl ControlState {
-    /// Takes in a listing of a topic.
+    /// Applies a listing of a topic.
     pub(super) fn apply_listing(
         &mut self,
         topic: RecordTopic,
@@ -58,7 +59,7 @@
         self.mark_servers_listed();
     }
 
-    /// Takes in records that follow a known offset.
+    /// Applies records that follow a known offset.
     pub(super) fn apply_records(
         &mut self,
         topic: RecordTopic,
@@ -70,14 +71,14 @@
         self.apply_updates(&updates, &RecordSource::Store, now);
     }
 
-    /// Takes in whether servers were listed.
+    /// Marks the list of servers as known once the replica has it.
     pub(super) fn mark_servers_listed(&self) {
         if self.replica.known_below(RecordTopic::Servers).is_some() {
             self.context.has_server_list.store(true, Ordering::Release);
         }
     }
 
-    /// Puts newer records in force.
+    /// Applies records that are newer than the known ones.
     pub(super) fn apply_updates(
         &mut self,
         updates: &[KeyedRecord],
@@ -147,7 +148,7 @@
         }
     }
 
-    /// Puts a configuration in force unless a newer one is.
+    /// Puts a configuration in force unless the current one is as new.
     fn apply_configuration(
         &mut self,
         configuration: Configuration,
--- a/src/relay/control/rollout/lease.rs
+++ b/src/relay/control/rollout/lease.rs
@@ -1,4 +1,4 @@
-//! The lease under which one node coordinates rollouts: whose turn it is, and the calls to the register.
+//! Rollout lease: when this node tries to acquire it, and the calls to the lease register.
 
 use crate::decision::relay::register_lease::RegisterRecord;
 use crate::ports::Replacement;
@@ -9,20 +9,20 @@
 use std::time::{Duration, Instant};
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// Time without a notice after which another node takes over.
+/// Time without a notice after which another node tries to become the coordinator.
 const MAX_COORDINATOR_SILENCE: Duration = Duration::from_millis(900);
 
-/// Time by which nodes that would coordinate start one after the other.
+/// Time between the attempts of successive candidates for the lease.
 const CANDIDATE_STAGGER: Duration = Duration::from_millis(250);
 
-/// Wait before the register is tried again.
+/// Minimum time between calls to the register.
 const REGISTER_RETRY_DELAY: Duration = Duration::from_millis(300);
 
-/// Time after which a call to the register counts as lost.
+/// Time after which another call to the register may be sent although one is unanswered.
 const REGISTER_TIMEOUT: Duration = Duration::from_secs(2);
 
 impl ControlState {
-    /// Takes the lease if it is this node's turn.
+    /// Tries to acquire the lease if it is this node's turn.
     pub(super) fn try_acquire_lease(&mut self, now: Instant) {
         let Some(needed_since) = self.rollout.needed_since else { return };
         let own_turn_at = needed_since + CANDIDATE_STAGGER * self.candidate_rank();
@@ -41,8 +41,8 @@
         }
     }
 
-    /// Returns after how many other nodes this one tries: the last coordinator goes first, the
-    /// others follow in an order that differs from one rollout to the next.
+    /// Returns how many nodes try before this one: the last coordinator is first, the others follow
+    /// in an order that depends on the target weights.
     fn candidate_rank(&self) -> u32 {
         if self.rollout.last_coordinator.as_ref() == Some(&self.rollout.instance) {
             return 0;
@@ -66,6 +66,7 @@
         });
     }
 
+    /// Replaces the record of the register to acquire or renew the lease, unless a call is pending.
     pub(super) fn replace_register(&mut self, now: Instant) {
         let is_call_pending = self.rollout.register_call_until.is_some_and(|until| now < until);
         let Some(number) = self.rollout.lease.replaceable_number(now).filter(|_| !is_call_pending)
@@ -82,7 +83,7 @@
         });
     }
 
-    /// Takes in what the register holds.
+    /// Applies the result of reading the register.
     pub(in crate::relay::control) fn apply_register_read(
         &mut self,
         read: PeerResult<RegisterRecord>,
@@ -100,7 +101,7 @@
         }
     }
 
-    /// Takes in the outcome of taking the lease.
+    /// Applies the result of replacing the record of the register.
     pub(in crate::relay::control) fn apply_replacement(
         &mut self,
         sent_at: Instant,
--- a/src/relay/control/rollout/mod.rs
+++ b/src/relay/control/rollout/mod.rs
@@ -1,4 +1,4 @@
-//! Rollouts of weights on the control thread: what is due, and the servers that it concerns.
+//! Weight rollouts on the control thread. The node that holds the rollout lease coordinates them.
 
 mod lease;
 mod notices;
@@ -13,25 +13,29 @@
 use std::collections::BTreeMap;
 use std::time::Instant;
 
-/// Rollouts as one node sees and coordinates them.
+/// State of rollouts at one node.
 pub(super) struct RolloutControl {
     instance: InstanceId,
     lease: RegisterLease,
     rollouts: BTreeMap<ModelId, Rollout>,
-    /// Since when servers have been outdated and nobody was heard to coordinate.
+    /// Since when a rollout has been needed, `None` if none is.
     needed_since: Option<Instant>,
+    /// When a notice of another coordinator last arrived.
     last_notice_at: Option<Instant>,
     last_coordinator: Option<InstanceId>,
+    /// When the notices are next repeated.
     next_notice_at: Instant,
-    /// Number of the next notice.
+    /// Number of the last notice of this node.
     notice_number: u64,
     received_notices: ReceivedNotices,
+    /// When the pending call to the lease register times out, `None` if no call is pending.
     register_call_until: Option<Instant>,
+    /// Earliest time of the next call to the lease register.
     next_register_call_at: Instant,
 }
 
 impl RolloutControl {
-    /// Returns the rollouts of a node that has just started.
+    /// Returns the state of a node without rollouts.
     pub(super) fn new(instance: InstanceId, lease_ms: u64) -> Self {
         let now = Instant::now();
         Self {
@@ -49,12 +53,12 @@
         }
     }
 
-    /// Whether this node coordinates or may have to.
+    /// Whether a rollout is needed or under way.
     pub(super) fn is_active(&self) -> bool {
         self.needed_since.is_some() || !self.rollouts.is_empty()
     }
 
-    /// Drops the lease, since its deadline may have passed unnoticed.
+    /// Drops the lease and all rollouts.
     pub(super) fn drop_lease(&mut self) {
         self.lease.drop_lease();
         self.rollouts.clear();
@@ -62,7 +66,7 @@
 }
 
 impl ControlState {
-    /// Does the periodic work of rollouts.
+    /// Starts, advances and ends rollouts, acquiring or renewing the lease as needed.
     pub(super) fn tick_rollouts(&mut self, now: Instant) {
         let models: Vec<ModelId> = self.targets.keys().cloned().collect();
         let outdated: Vec<ModelId> =
@@ -96,6 +100,7 @@
         }
     }
 
+    /// Whether a server has weights older than the target of `model`.
     fn has_outdated_servers(&self, model: &ModelId) -> bool {
         let Some(target) = self.targets.get(model) else { return false };
         let fleet = self.context.fleet();
@@ -122,6 +127,7 @@
             .collect()
     }
 
+    /// Starts a rollout of the target weights of `model`, or sets the target of the running one.
     fn start_or_retarget(&mut self, model: &ModelId) {
         let Some(target) = self.context.fleet().targets().get(model).cloned() else { return };
         let revision = target.revision();
@@ -141,13 +147,12 @@
     }
 }
 
-/// Whether a server takes part in rollouts: one that does not answer is brought up to date once it
-/// does.
+/// Whether a server takes part in rollouts. One that does not answer is updated once it does.
 fn is_eligible(server: &Server) -> bool {
     let is_suspended = server.suspended_until(Instant::now()).is_some();
     server.entry.state == ServerState::Ready && !server.is_entry_missing() && !is_suspended
 }
 
 fn has_older_weights(server: &Server, model: &ModelId, revision: WeightsRevision) -> bool {
-    server.weights.get(model).is_some_and(|held| *held < revision)
+    server.weights.get(model).is_some_and(|loaded| *loaded < revision)
 }
--- a/src/relay/control/rollout/notices.rs
+++ b/src/relay/control/rollout/notices.rs
@@ -1,4 +1,5 @@
-//! Notices by which a coordinator tells all nodes which servers are closed and which have changed.
+//! Notices that the coordinator sends to all nodes: which servers are closed, and which have new
+//! weights.
 
 use super::RolloutControl;
 use crate::decision::relay::received_notices::NoticeOrder;
@@ -8,14 +9,15 @@
 use crate::types::{InstanceId, ModelId};
 use std::time::{Duration, Instant};
 
-/// Time for which a server stays closed after the last notice of its rollout.
+/// Time for which a server stays closed without a further notice.
 const CLOSED_PERIOD: Duration = Duration::from_millis(1_200);
 
-/// Period in which the coordinator repeats its notice.
+/// Period at which the coordinator repeats its notices.
 const NOTICE_PERIOD: Duration = Duration::from_millis(250);
 
 impl RolloutControl {
-    /// Returns the next notice about a model, none without a rollout of it.
+    /// Returns a new notice about the rollout of `model`, `None` without a rollout or a
+    /// known lease record.
     pub(super) fn next_notice(&mut self, model: &ModelId) -> Option<RolloutNotice> {
         let rollout = self.rollouts.get(model)?;
         self.notice_number += 1;
@@ -32,6 +34,7 @@
 }
 
 impl ControlState {
+    /// Applies and sends a notice for each rollout.
     pub(super) fn send_notices(&mut self, now: Instant) {
         self.rollout.next_notice_at = now + NOTICE_PERIOD;
         let models: Vec<ModelId> = self.rollout.rollouts.keys().cloned().collect();
@@ -42,8 +45,8 @@
         }
     }
 
-    /// Takes in a coordinator's notice from a partner and passes it on, since a coordinator has links
-    /// to some nodes only.
+    /// Applies a notice received from a partner. On a tree of nodes it is also forwarded, since the
+    /// coordinator has links to some nodes only.
     pub(in crate::relay::control) fn receive_rollout_notice(
         &mut self,
         source: &InstanceId,
@@ -57,7 +60,7 @@
             NoticeOrder::Duplicate => return,
             NoticeOrder::Newest => {}
             NoticeOrder::Late => {
-                // What changed still holds; which servers are closed has been told since.
+                // Its changes are still valid, but a newer notice says which servers are closed.
                 notice.closed.clear();
                 notice.evicted.clear();
             }
@@ -78,10 +81,11 @@
         self.rollout.last_notice_at = Some(now);
         self.rollout.last_coordinator = Some(notice.lease.holder.clone());
         self.apply_notice_locally(notice, now);
-        // The coordinator waits for the requests that are still at closed servers.
+        // The coordinator waits for the end of the requests at closed servers.
         self.send_load(now);
     }
 
+    /// Applies a notice to this node's servers.
     pub(super) fn apply_notice_locally(&self, notice: &RolloutNotice, now: Instant) {
         let mut fleet = self.context.fleet();
         for (id, revision) in &notice.changed {
--- a/src/relay/control/rollout/orders.rs
+++ b/src/relay/control/rollout/orders.rs
@@ -1,4 +1,4 @@
-//! Reports of servers and orders to them, as the decision of the rollout commands.
+//! Executes the commands of a rollout: report requests and orders to servers, and notices.
 
 use crate::decision::relay::register_lease::FencingNumber;
 use crate::decision::relay::rollout::{RolloutCommand, WeightsOrderOutcome, WeightsReport};
@@ -11,15 +11,15 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// Time that a report or order may take: several round trips between availability zones. What is
-/// unanswered by then is found out by the next report.
+/// Timeout of a report request or order: several round trips between availability zones. The next
+/// report shows whether an unanswered order was carried out.
 const CALL_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// Time after a higher fencing number was met in which the register is left alone.
+/// Delay of the next call to the register after an order was rejected for a higher fencing number.
 const FENCED_RETRY_DELAY: Duration = Duration::from_millis(1_200);
 
 impl ControlState {
-    /// Takes in a report of a server.
+    /// Applies the report of a server, or the failure to get it.
     pub(in crate::relay::control) fn apply_report(
         &mut self,
         model: &ModelId,
@@ -35,7 +35,7 @@
         self.execute(model, commands, now);
     }
 
-    /// Takes in the answer to an order.
+    /// Applies the outcome of an order.
     pub(in crate::relay::control) fn apply_order(
         &mut self,
         model: &ModelId,
@@ -61,6 +61,7 @@
         self.execute(model, commands, now);
     }
 
+    /// Executes the commands of the rollout of `model`.
     pub(super) fn execute(&mut self, model: &ModelId, commands: Vec<RolloutCommand>, now: Instant) {
         let Some(mut notice) = self.rollout.next_notice(model).filter(|_| !commands.is_empty())
         else {
--- a/src/relay/control/state.rs
+++ b/src/relay/control/state.rs
@@ -1,4 +1,4 @@
-//! State of the control thread and its loop.
+//! State and event loop of the control thread.
 
 use super::partners::Partners;
 use super::rollout::RolloutControl;
@@ -20,22 +20,22 @@
 use std::sync::atomic::Ordering;
 use std::time::{Duration, Instant};
 
-/// Period of the loop's own work.
+/// Period of periodic work.
 const TICK_PERIOD: Duration = Duration::from_millis(100);
 
-/// Period of a node that passes the loads of others on.
+/// Period on a node that forwards the loads of other nodes.
 const FORWARDING_TICK_PERIOD: Duration = Duration::from_millis(50);
 
 /// Period while a rollout is under way.
 const ROLLOUT_TICK_PERIOD: Duration = Duration::from_millis(25);
 
-/// What the control thread starts from.
+/// Arguments of [`start`].
 pub struct ControlParts {
-    /// Shared parts of the node.
+    /// State shared with the traffic thread.
     pub context: Arc<RelayContext>,
-    /// Id of this run of the node.
+    /// Id of this instance.
     pub instance: InstanceId,
-    /// Events.
+    /// Queue of events.
     pub events: Receiver<RelayControlEvent>,
     /// Listener of partner links.
     pub partners: TcpListener,
@@ -48,18 +48,19 @@
     pub(super) context: Arc<RelayContext>,
     pub(super) executor: Weak<LocalExecutor<'static>>,
     pub(super) replica: Replica,
-    /// Reads of the topics, for the tasks that follow them.
+    /// Schedule of topic reads, shared with the tasks that read.
     pub(super) read_schedule: Rc<RefCell<ReadSchedule>>,
     pub(super) partners: Partners,
     pub(super) loads: LoadExchange,
     pub(super) rollout: RolloutControl,
+    /// Weights that servers must load, by model.
     pub(super) targets: BTreeMap<ModelId, WeightsRevision>,
-    /// Whether the store answers, for the tasks that follow it.
+    /// Address of the configured external store of KV cache, shared with the task that polls it.
     pub(super) kv_store_address: Rc<Cell<Option<SocketAddr>>>,
     suspension_detector: SuspensionDetector,
 }
 
-/// Runs the control thread's main task.
+/// Runs the control thread: starts its tasks and handles events.
 pub async fn start(executor: Weak<LocalExecutor<'static>>, parts: ControlParts) {
     let now = Instant::now();
     let ControlParts { context, instance, events, partners: listener, partner_address } = parts;
@@ -78,7 +79,7 @@
         executor,
         context: Arc::clone(&context),
     };
-    // The seeds alone may be reachable while the store is not.
+    // The seed partners may be reachable while the store is not.
     state.apply_announced(&[], now);
     follow::start(&state, partner_address);
     state.spawn(partners::accept_links(Arc::clone(&context), identity, listener));
@@ -181,6 +182,7 @@
         }
     }
 
+    /// Sets or removes the external store of KV cache in the fleet.
     fn apply_kv_store(&mut self, address: Option<SocketAddr>, is_emptied: bool, now: Instant) {
         let state = if address.is_some() { "regained" } else { "lost" };
         log::info!("event=kv_store_{state} emptied={is_emptied}");
@@ -200,7 +202,7 @@
         }
     }
 
-    /// Drops what must not outlast a suspension of the machine.
+    /// Drops the lease if the machine was suspended, since its deadline may have passed meanwhile.
     fn handle_suspension(&mut self) {
         let Some(gap) = self.suspension_detector.take_suspension() else { return };
         log::warn!("event=suspended gap_ms={}", gap.as_millis());
--- a/src/relay/exchange.rs
+++ b/src/relay/exchange.rs
@@ -1,4 +1,4 @@
-//! One request of a caller, from its head to the answer.
+//! Handling of one request: admission, attempts at servers, and the answer or refusal.
 
 use super::attempt::{self, Answer, AttemptOutcome};
 use super::buffered_answer::forward_buffered;
@@ -17,37 +17,37 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// Part of the latency objective for which a request may wait for a server.
+/// Divisor of the latency objective that gives the maximum wait for an available server.
 const WAIT_OBJECTIVE_DIVISOR: u32 = 8;
 
-/// Time between two looks for a server.
+/// Time between two attempts to choose a server while all are closed.
 const CHOICE_POLL_PERIOD: Duration = Duration::from_millis(10);
 
-/// Least time left for another attempt to make sense.
+/// Minimum remaining time for a resend.
 const MIN_ATTEMPT_TIME: Duration = Duration::from_millis(60);
 
-/// Servers that a request may be offered to, those out of reach or full included.
+/// Maximum servers tried for a request, including those that are unreachable or full.
 const MAX_TRIED_SERVERS: usize = 4;
 
-/// Wait before a caller comes back whose request no server ran.
+/// Retry delay of a caller whose request no server ran.
 const NOT_RUN_RETRY_DELAY: Duration = Duration::from_millis(60);
 
-/// Servers that a request was sent to so far.
+/// Attempts of a request so far.
 #[derive(Clone, Debug, Default)]
 pub struct Attempts {
-    /// Servers that had it or were out of reach.
+    /// Servers that were tried, including unreachable ones.
     pub tried: Vec<ServerId>,
-    /// Servers that may have run it.
+    /// Number of attempts in which the server may have run the request.
     pub possible_runs: u32,
 }
 
 impl Attempts {
-    /// Whether the route allows no server after the next one.
+    /// Whether the route allows no attempt after the next one.
     pub fn is_next_last(&self, route: &Route) -> bool {
         self.possible_runs + 1 >= route.max_attempts
     }
 
-    /// Counts an attempt unless its server says that it did not run the request.
+    /// Counts an attempt unless the server certainly did not run the request.
     pub fn record(&mut self, outcome: &AttemptOutcome) {
         self.possible_runs += match outcome {
             AttemptOutcome::Answered(_) | AttemptOutcome::Unknown(_) => 1,
@@ -55,7 +55,8 @@
         };
     }
 
-    /// Takes a resend if route, budget and time allow one.
+    /// Takes a resend from the budget if route, budget and remaining time allow one; returns
+    /// whether they do.
     pub fn try_resend(
         &self,
         context: &RelayContext,
@@ -82,7 +83,7 @@
     }
 }
 
-/// Answers a request.
+/// Handles a request and returns the answer for the caller.
 pub async fn handle(context: Arc<RelayContext>, request: Request<Incoming>) -> Reply {
     let arrived_at = Instant::now();
     let facts = context.ports.dialect.read_request(request.headers());
@@ -109,7 +110,7 @@
     }
 }
 
-/// Request without an answer yet; dropped with the request's task when its caller leaves.
+/// Logs and counts a request whose task is dropped before it was answered, since the caller left.
 struct UnansweredRequest<'a> {
     context: &'a RelayContext,
     request: &'a RelayedRequest,
@@ -144,7 +145,7 @@
     );
 }
 
-/// Sends a request to servers until one answers, and passes the answer on.
+/// Sends a request to servers until one answers, and returns that answer.
 async fn serve(
     context: &Arc<RelayContext>,
     request: &Arc<RelayedRequest>,
@@ -188,7 +189,7 @@
     }
 }
 
-/// Returns the answer for the caller, or none if the request is to be sent once more.
+/// Returns the answer for the caller, `None` if the request must be sent again.
 async fn forward_answer(
     context: &Arc<RelayContext>,
     request: &Arc<RelayedRequest>,
@@ -212,6 +213,7 @@
     }
 }
 
+/// Returns the refusal of a request whose last attempt failed with `error`.
 fn failure_refusal(request: &RelayedRequest, error: &PeerError) -> Refusal {
     let is_late = Instant::now() >= request.deadline;
     let reason = match error.step {
@@ -222,7 +224,7 @@
     Refusal::new(reason)
 }
 
-/// Returns the server for the next attempt; waits a little if one will be free soon.
+/// Returns the server for the next attempt. Waits a short time if all servers are closed.
 pub async fn choose_server(
     context: &RelayContext,
     request: &RelayedRequest,
@@ -251,7 +253,7 @@
     }
 }
 
-/// Refuses a request that would wait too long at the chosen server.
+/// Returns a refusal if the request would wait too long at the chosen server.
 fn check_overload(
     request: &RelayedRequest,
     choice: &Choice,
--- a/src/relay/metrics.rs
+++ b/src/relay/metrics.rs
@@ -15,7 +15,7 @@
 /// Upper bounds of the latency buckets, in seconds.
 const LATENCY_BUCKETS_S: [f64; 10] = [0.025, 0.05, 0.1, 0.2, 0.3, 0.4, 0.7, 1.5, 5.0, 15.0];
 
-/// Labels of an answered request.
+/// Labels of a finished request.
 #[derive(Clone, Debug, EncodeLabelSet, Eq, Hash, PartialEq)]
 pub struct AnswerLabels {
     /// Route.
@@ -42,13 +42,13 @@
 pub struct RelayMetrics {
     /// Requests by route and outcome.
     pub requests: Family<AnswerLabels, Counter>,
-    /// Time to the first byte of an answer.
+    /// Time from the head of a request to the first byte of its answer.
     pub first_answer: LatencyFamily<RouteLabels>,
     /// Refusals by reason.
     pub refusals: Family<ReasonLabels, Counter>,
-    /// Requests sent once more, by reason.
+    /// Resends by reason.
     pub resends: Family<ReasonLabels, Counter>,
-    /// Streams that went on at another server.
+    /// Streams that were resumed at another server.
     pub resumed_streams: Counter,
     /// Failed exchanges with servers, by step.
     pub server_failures: Family<ReasonLabels, Counter>,
@@ -62,19 +62,19 @@
     pub links: Gauge,
     /// Revision of the configuration in force.
     pub configuration_revision: Gauge,
-    /// Servers known.
+    /// Known servers.
     pub servers: Gauge,
-    /// Dropped log lines.
+    /// Log lines dropped because standard output was too slow.
     pub dropped_log_lines: Counter,
 }
 
 impl RelayMetrics {
-    /// Counts the time until the answer to a request of `route` began, which came at `arrived_at`.
+    /// Records that the answer begins now to a request of `route` that arrived at `arrived_at`.
     pub fn observe_first_answer(&self, route: &str, arrived_at: Instant) {
         self.first_answer.observe(&RouteLabels { route: route.to_owned() }, arrived_at.elapsed());
     }
 
-    /// Registers all metrics.
+    /// Registers all metrics with `registry`.
     pub fn register(&self, registry: &mut Registry) {
         registry.register("relay_requests", "Requests by route and outcome", self.requests.clone());
         registry.register_with_unit(
--- a/src/relay/mod.rs
+++ b/src/relay/mod.rs
@@ -1,8 +1,8 @@
-//! The relay: passes requests of configured routes on to backend servers, unchanged, and their
-//! answers back.
+//! Relay node: forwards the requests of configured routes to backend servers, and the answers to
+//! the callers, both unchanged.
 //!
-//! Traffic runs on one thread and never waits for control. The control thread follows the records of
-//! the site's store, exchanges them with partners, and carries out rollouts of weights.
+//! One thread runs all traffic and never waits for the control thread, which follows the records of
+//! the site's store, exchanges records and loads with partners, and coordinates weight rollouts.
 
 pub mod attempt;
 pub mod buffered_answer;
--- a/src/relay/node.rs
+++ b/src/relay/node.rs
@@ -1,4 +1,4 @@
-//! Assembles a relay node and runs it on threads of its own.
+//! Starts and stops a relay node, which runs on threads of its own.
 
 use super::control::{self, ControlParts, RelayControlEvent};
 use super::exchange;
@@ -27,40 +27,41 @@
 use std::thread::{self, JoinHandle};
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// Events that may wait for the control thread.
+/// Maximum events that wait for the control thread.
 const MAX_QUEUED_EVENTS: usize = 1_024;
 
-/// Limits of the callers' listener until a configuration names some.
+/// Limits of the callers' listener until a configuration sets others.
 const DEFAULT_CALLER_LIMITS: ServerLimits =
     ServerLimits { head_bytes: 16 * 1024, head_timeout_ms: 16_000 };
 
-/// Limits of the listeners for operators' tools.
+/// Limits of the readiness and metrics listeners.
 const MONITORING_LIMITS: ServerLimits =
     ServerLimits { head_bytes: 8 * 1024, head_timeout_ms: 60_000 };
 
-/// Period in which a stopping node looks whether its connections have ended.
+/// Period at which a stopping node checks whether its connections have ended.
 const DRAIN_POLL_PERIOD: Duration = Duration::from_millis(50);
 
-/// Running relay node.
+/// A running relay node.
 pub struct RelayNode {
     context: Arc<RelayContext>,
     caller_address: SocketAddr,
     readiness_address: SocketAddr,
     partner_address: SocketAddr,
-    /// Closes when connections are to end after their requests.
+    /// Closing it ends the listener, and each caller connection after its current request. They
+    /// hold the receivers, so the number of receivers is that of the open connections.
     drain: Sender<Infallible>,
-    /// Closes when the threads are to stop.
+    /// Closing it stops the threads.
     stop: Sender<Infallible>,
     threads: Vec<JoinHandle<()>>,
     executor: Arc<Executor<'static>>,
 }
 
 impl RelayNode {
-    /// Starts a node; `ports` gets the pool of connections and returns the node's ports.
+    /// Starts a node; `ports` creates its adapters, which share the connection pool.
     ///
     /// # Errors
     ///
-    /// A listener that cannot be bound or a thread that cannot be started.
+    /// A listener that cannot be bound, or a thread that cannot be started.
     pub fn start(
         settings: RelaySettings,
         metrics: RelayMetrics,
@@ -124,12 +125,13 @@
         self.readiness_address
     }
 
-    /// Returns the address of the partner listener.
+    /// Returns the address of the listener for partner links.
     pub fn partner_address(&self) -> SocketAddr {
         self.partner_address
     }
 
-    /// Stops gracefully: readiness goes first, then the listener, then the running requests end.
+    /// Stops gracefully: reports not ready, stops accepting connections `accept_ms` later, and
+    /// waits for running requests until `limit_ms`.
     pub fn drain(self) {
         let limits = self.context.settings.stop;
         let started_at = Instant::now();
@@ -146,7 +148,7 @@
         self.kill();
     }
 
-    /// Stops abruptly: all connections close at once.
+    /// Stops at once and closes all connections.
     pub fn kill(self) {
         self.stop.close();
         let Self { threads, executor, .. } = self;
--- a/src/relay/refusal.rs
+++ b/src/relay/refusal.rs
@@ -1,4 +1,4 @@
-//! Answers of the relay's own, given at once when a request cannot be served.
+//! Refusals: answers that the relay itself gives to requests that it cannot serve.
 
 use super::RelayContext;
 use crate::adapters::http_server::Reply;
@@ -11,16 +11,17 @@
 use std::time::{Duration, Instant};
 use strum::{Display, IntoStaticStr};
 
-/// Least time before a caller comes back.
+/// Minimum delay after which a refused caller is told to retry.
 const MIN_RETRY_DELAY: Duration = Duration::from_millis(40);
 
-/// Wait before a caller comes back while the node knows no configuration.
+/// Retry delay while the node has no configuration or no list of servers.
 const UNCONFIGURED_RETRY_DELAY: Duration = Duration::from_millis(500);
 
-/// Part of the wait by which callers are spread, so that they do not come back together.
+/// Maximum random increase of the retry delay, as a fraction of it, so that callers do not retry
+/// all at once.
 const MAX_RETRY_JITTER: f64 = 0.5;
 
-/// Why the relay answers itself.
+/// Why a request is refused.
 #[derive(Clone, Copy, Debug, Display, Eq, IntoStaticStr, PartialEq)]
 #[strum(serialize_all = "snake_case")]
 pub enum RefusalReason {
@@ -28,32 +29,32 @@
     Unconfigured,
     /// No route matches.
     NoRoute,
-    /// The key belongs to no workspace.
+    /// The API key belongs to no workspace.
     UnknownKey,
     /// The request has no id.
     NoRequestId,
     /// The body exceeds the limit.
     BodyTooLarge,
-    /// The body did not arrive whole.
+    /// The body did not arrive completely.
     BodyIncomplete,
-    /// The request crashed servers before.
+    /// The request is suspected of crashing servers.
     Poison,
-    /// No server can take the request.
+    /// No server can accept the request.
     Unavailable(UnavailableReason),
-    /// The servers have more work than the caller's patience.
+    /// The expected wait at the servers is too long.
     Overloaded,
-    /// The servers that had the request did not run it.
+    /// No server ran the request.
     NotRun,
-    /// The outcome of the request is unknown.
+    /// A server may have run the request, but its answer was lost.
     OutcomeUnknown,
-    /// The answer was not a server's own.
+    /// The answer did not come from the server or does not fit the request.
     BadAnswer,
-    /// The request's time is over.
+    /// The deadline of the request has passed.
     TimedOut,
 }
 
 impl RefusalReason {
-    /// Returns the status. 429 and 503 promise that the request has not run and never will.
+    /// Returns the status code. 429 and 503 promise that the request has not run and never will.
     pub fn status(self) -> StatusCode {
         match self {
             Self::NoRoute => StatusCode::NOT_FOUND,
@@ -70,7 +71,7 @@
         }
     }
 
-    /// Returns the name for logs and metrics.
+    /// Returns the name used in logs and metrics.
     pub fn name(self) -> &'static str {
         match self {
             Self::Unavailable(reason) => reason.into(),
@@ -82,29 +83,29 @@
 /// Refusal of a request.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Refusal {
-    /// Reason.
+    /// Why the request is refused.
     pub reason: RefusalReason,
-    /// When the caller should come back.
+    /// When the caller should retry, `None` if retrying soon makes no difference.
     pub retry_at: Option<Instant>,
 }
 
 impl Refusal {
-    /// Returns a refusal after which coming back soon makes no difference.
+    /// Returns a refusal without a retry time.
     pub fn new(reason: RefusalReason) -> Self {
         Self { reason, retry_at: None }
     }
 
-    /// Returns a refusal that asks the caller to come back.
+    /// Returns a refusal that tells the caller to retry at `retry_at`.
     pub fn with_retry(reason: RefusalReason, retry_at: Instant) -> Self {
         Self { reason, retry_at: Some(retry_at) }
     }
 
-    /// Returns the refusal of a node that knows too little to serve yet.
+    /// Returns the refusal of a node without a configuration or a list of servers.
     pub fn unconfigured(now: Instant) -> Self {
         Self::with_retry(RefusalReason::Unconfigured, now + UNCONFIGURED_RETRY_DELAY)
     }
 
-    /// Counts the refusal and returns the answer.
+    /// Counts the refusal and returns the answer for the caller.
     pub fn reply(self, context: &RelayContext, request: Option<&RequestId>) -> Reply {
         let labels = ReasonLabels { reason: self.reason.name().to_owned() };
         context.metrics.refusals.get_or_create(&labels).inc();
--- a/src/relay/request.rs
+++ b/src/relay/request.rs
@@ -1,4 +1,4 @@
-//! A caller's request: checked, authenticated, and read whole.
+//! Receives requests: matches the route, authenticates the caller and reads the body.
 
 use super::RelayContext;
 use super::refusal::{Refusal, RefusalReason};
@@ -17,10 +17,10 @@
 use std::time::{Duration, Instant};
 use xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed};
 
-/// Body limit while a configuration names none.
+/// Maximum body size if the configuration sets none.
 const DEFAULT_MAX_BODY_BYTES: usize = 4 * 1024 * 1024;
 
-/// Headers that concern one connection alone.
+/// Headers that apply to a single connection and are not forwarded.
 const HOP_BY_HOP_HEADERS: [HeaderName; 9] = [
     header::CONNECTION,
     header::TE,
@@ -33,45 +33,46 @@
     HeaderName::from_static("proxy-connection"),
 ];
 
-/// Request that was read whole and may be sent.
+/// Complete request, ready to be sent to a server.
 pub struct RelayedRequest {
-    /// Id that the caller chose.
+    /// Id chosen by the caller.
     pub id: RequestId,
-    /// Route.
+    /// Matching route.
     pub route: Arc<Route>,
-    /// Service that serves it.
+    /// Service of the route that gets the request.
     pub service: ServiceId,
-    /// Workspace of the caller.
+    /// Workspace of the caller, `None` if it is anonymous.
     pub workspace: Option<Arc<Workspace>>,
-    /// Whether the caller's key must not reach the server.
+    /// Whether the caller's API key must not reach the server.
     pub hides_key: bool,
-    /// What the head says.
+    /// Contents of the request head.
     pub facts: RequestFacts,
     /// Method.
     pub method: Method,
     /// Path and query.
     pub uri: Uri,
-    /// Headers but for those of the connection.
+    /// End-to-end headers.
     pub headers: HeaderMap,
     /// Body.
     pub body: Bytes,
-    /// When the head had arrived.
+    /// When the head arrived.
     pub arrived_at: Instant,
-    /// When it must have its answer.
+    /// When the answer must be complete.
     pub deadline: Instant,
-    /// Fingerprint, which is the same if it is sent again.
+    /// Hash of workspace, path and body, which is the same when the caller retries.
     pub fingerprint: Fingerprint,
 }
 
 impl RelayedRequest {
-    /// Returns the priority with which servers are to take it, 0 is the highest.
+    /// Returns the priority at the servers; 0 is the highest.
     pub fn priority(&self) -> u8 {
         let workspace_priority = self.workspace.as_ref().and_then(|workspace| workspace.priority);
         self.admission(false, self.arrived_at)
             .server_priority(workspace_priority.unwrap_or(self.route.priority))
     }
 
-    /// Returns what decides its admission at `now`; `has_run` tells whether a server ran it in part.
+    /// Returns the facts that decide admission at `now`; `has_started` says whether a server has
+    /// run part of the request.
     pub fn admission(&self, has_started: bool, now: Instant) -> AdmissionRequest {
         let remaining = self.deadline.saturating_duration_since(now);
         AdmissionRequest {
@@ -82,7 +83,7 @@
         }
     }
 
-    /// Returns what decides the choice of a server.
+    /// Returns the query that selects a server other than those in `tried`.
     pub fn server_query<'a>(&'a self, tried: &'a [ServerId]) -> ServerQuery<'a> {
         let isolated = self.workspace.as_ref().filter(|workspace| workspace.is_isolated);
         ServerQuery {
@@ -94,13 +95,13 @@
         }
     }
 
-    /// Returns the milliseconds since the head arrived.
+    /// Returns the milliseconds since the request arrived.
     pub fn age_ms(&self) -> u128 {
         self.arrived_at.elapsed().as_millis()
     }
 }
 
-/// Checks a request and reads its body.
+/// Matches the route, authenticates the caller, reads the body and checks for poison requests.
 pub async fn receive(
     context: &RelayContext,
     request: Request<Incoming>,
@@ -201,7 +202,7 @@
     }
 }
 
-/// Drops the headers that concern one connection alone.
+/// Removes the headers that apply to a single connection, including those that `Connection` lists.
 pub fn end_to_end_headers(mut headers: HeaderMap) -> HeaderMap {
     let connection_headers: Vec<HeaderName> = headers
         .get_all(header::CONNECTION)
--- a/src/relay/run.rs
+++ b/src/relay/run.rs
@@ -1,4 +1,4 @@
-//! Runs a relay node until it is told to stop.
+//! Runs a relay node until a signal stops it.
 
 use super::RelayNode;
 use async_signal::{Signal, Signals};
@@ -7,43 +7,43 @@
 use std::time::Duration;
 use strum::Display;
 
-/// Period in which the settings file is looked at, since it may change without a signal.
+/// Period at which the settings file is read, since it may change without a signal.
 const SETTINGS_POLL_PERIOD: Duration = Duration::from_secs(5);
 
-/// What wakes the main thread.
+/// Why the main thread wakes.
 enum WakeReason {
-    /// A signal, none if no more can come.
+    /// A signal, `None` if no more signals can arrive.
     Signal(Option<std::io::Result<Signal>>),
-    /// The settings file is to be looked at.
+    /// Reading the settings file is due.
     PollSettings,
 }
 
-/// Why the settings are read again.
+/// Why the settings are reloaded.
 #[derive(Clone, Copy, Debug, Display, Eq, PartialEq)]
 #[strum(serialize_all = "snake_case")]
 pub enum ReloadCause {
-    /// A signal asked for it.
+    /// A signal requested it.
     Signal,
-    /// The file is looked at from time to time.
-    Look,
+    /// The file is read periodically.
+    #[strum(serialize = "look")]
+    Poll,
 }
 
-/// Runs `node` until a signal tells it to stop; `reload` is called when the settings may have
-/// changed.
+/// Runs `node` until a signal stops it; calls `reload` when the settings may have changed.
 ///
 /// # Errors
 ///
-/// Signals that cannot be received.
+/// Signal handlers that cannot be installed.
 pub fn run(node: RelayNode, mut reload: impl FnMut(ReloadCause)) -> anyhow::Result<()> {
     let mut signals = Signals::new([Signal::Term, Signal::Int, Signal::Hup])?;
     loop {
         let signal = async { WakeReason::Signal(signals.next().await) };
-        let look = async {
+        let poll = async {
             Timer::after(SETTINGS_POLL_PERIOD).await;
             WakeReason::PollSettings
         };
-        match smol::block_on(signal.or(look)) {
-            WakeReason::PollSettings => reload(ReloadCause::Look),
+        match smol::block_on(signal.or(poll)) {
+            WakeReason::PollSettings => reload(ReloadCause::Poll),
             WakeReason::Signal(Some(Ok(Signal::Hup))) => reload(ReloadCause::Signal),
             WakeReason::Signal(Some(Ok(signal))) => {
                 log::info!("event=signal signal={signal:?}");
--- a/src/relay/settings.rs
+++ b/src/relay/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of a relay node: the raw form and the checked form.
+//! Settings of a relay node, as read from the file and as checked.
 
 use crate::decision::relay::resend::ResendSettings;
 use crate::settings::check::{check_address, check_identity};
@@ -20,43 +20,43 @@
     pub listen: RawRelayListen,
     /// Key shared by all nodes, which authenticates partner links.
     pub partner_key: SmolStr,
-    /// Partner listeners of nodes that may be running, as `ip:port`.
+    /// Partner listeners of other nodes, as `ip:port`, dialed at the start.
     pub seed_partners: Vec<SmolStr>,
-    /// Requests that may be sent once more.
+    /// Allowance of resends.
     pub resend: RawResendSettings,
-    /// Milliseconds that the rollout lease lasts.
+    /// Duration of the rollout lease in milliseconds.
     pub rollout_lease_ms: u64,
-    /// Stopping.
+    /// Periods of a graceful stop.
     pub stop: StopSettings,
 }
 
-/// Listeners as read from a file, each as `ip:port`.
+/// Addresses of the listeners as read from a file, as `ip:port`, and paths.
 #[derive(Clone, Debug, Default, Deserialize, JsonSchema, Serialize)]
 #[serde(default)]
 pub struct RawRelayListen {
-    /// Callers.
+    /// Listener of callers.
     pub callers: SmolStr,
-    /// Readiness.
+    /// Listener of readiness checks.
     pub readiness: SmolStr,
-    /// Path of the readiness answer.
+    /// Path of the readiness check.
     pub readiness_path: SmolStr,
-    /// Partner links.
+    /// Listener of partner links.
     pub partners: SmolStr,
-    /// Metrics.
+    /// Listener of metrics scrapes.
     pub metrics: SmolStr,
     /// Path of the metrics.
     pub metrics_path: SmolStr,
 }
 
-/// Allowance of requests that are sent once more, as read from a file.
+/// Resend allowance of the site, as read from a file.
 #[derive(Clone, Copy, Debug, Deserialize, JsonSchema, Serialize)]
 #[serde(default)]
 pub struct RawResendSettings {
-    /// Resends that each first request allows.
+    /// Resends allowed per first attempt.
     pub ratio: f64,
-    /// Resends allowed in each window beyond that, for all nodes together.
+    /// Resends allowed in each window in addition, for all nodes together.
     pub slack: f64,
-    /// Seconds of the window.
+    /// Length of the window in seconds.
     pub window_s: f64,
 }
 
@@ -67,13 +67,13 @@
     }
 }
 
-/// Stopping of a node.
+/// Periods of a graceful stop.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, JsonSchema, PartialEq, Serialize)]
 #[serde(default)]
 pub struct StopSettings {
-    /// Milliseconds for which a stopping node still accepts connections, until balancers know.
+    /// Milliseconds for which a stopping node accepts connections until load balancers notice.
     pub accept_ms: u64,
-    /// Milliseconds after which a stopping node ends whatever still runs.
+    /// Milliseconds after which a stopping node cuts the remaining requests.
     pub limit_ms: u64,
 }
 
@@ -94,28 +94,28 @@
     pub listen: RelayListen,
     /// Key shared by all nodes, which authenticates partner links.
     pub partner_key: SmolStr,
-    /// Partner listeners of nodes that may be running.
+    /// Partner listeners of other nodes, dialed at the start.
     pub seed_partners: Vec<SocketAddr>,
-    /// Requests that may be sent once more.
+    /// Allowance of resends.
     pub resend: ResendSettings,
-    /// Milliseconds that the rollout lease lasts.
+    /// Duration of the rollout lease in milliseconds.
     pub rollout_lease_ms: u64,
-    /// Stopping.
+    /// Periods of a graceful stop.
     pub stop: StopSettings,
 }
 
-/// Listeners of a relay node; port 0 takes a free one.
+/// Addresses of the listeners, where port 0 means any free port, and paths.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct RelayListen {
-    /// Callers.
+    /// Listener of callers.
     pub callers: SocketAddr,
-    /// Readiness.
+    /// Listener of readiness checks.
     pub readiness: SocketAddr,
-    /// Path of the readiness answer.
+    /// Path of the readiness check.
     pub readiness_path: SmolStr,
-    /// Partner links.
+    /// Listener of partner links.
     pub partners: SocketAddr,
-    /// Metrics.
+    /// Listener of metrics scrapes.
     pub metrics: SocketAddr,
     /// Path of the metrics.
     pub metrics_path: SmolStr,
--- a/src/relay/stream.rs
+++ b/src/relay/stream.rs
@@ -1,5 +1,5 @@
-//! Event streams: passed on as they arrive, and gone on with at another server where the route
-//! allows it.
+//! Event streams: forwarded as they arrive, and resumed at another server where the route allows
+//! it.
 
 use super::RelayContext;
 use super::attempt::{self, Answer, AttemptOutcome, NotRunReason};
@@ -21,14 +21,15 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// Silence of a server after which a stream that can be resumed goes on at another one: several
-/// times the pause that callers accept, and less than the one after which they leave.
+/// Silence of a server after which a resumable stream moves to another one. It is several times the
+/// pause that callers accept and shorter than the one after which they leave.
 const MAX_STREAM_SILENCE: Duration = Duration::from_millis(1_000);
 
-/// Time after which a stream that no server took is moved again: a request or two end meanwhile.
+/// Time after which moving a stream off its server is tried again; one or two requests end
+/// meanwhile, so that another server may have room.
 const MOVE_RETRY_DELAY: Duration = Duration::from_millis(200);
 
-/// Time after which a server is looked for again that a broken stream can go on at.
+/// Time after which a server is chosen again for an interrupted stream.
 const CHOICE_RETRY_DELAY: Duration = Duration::from_millis(40);
 
 /// Counts a request by its outcome.
@@ -37,24 +38,27 @@
     context.metrics.requests.get_or_create(&AnswerLabels { route, outcome }).inc();
 }
 
-/// Stream on its way to a caller.
+/// Stream that is being forwarded to a caller.
 struct RelayedStream {
     context: Arc<RelayContext>,
     request: Arc<RelayedRequest>,
     attempts: Attempts,
+    /// Answer of the current server, `None` after it was interrupted or the stream has ended.
     answer: Option<Answer>,
-    /// Splits the stream if it can be resumed.
+    /// Splits the stream into whole events, `None` if the stream cannot be resumed.
     splitter: Option<EventSplitter>,
     forwarded_bytes: usize,
+    /// Longest time between two forwarded pieces.
     max_pause: Duration,
     last_data_at: Option<Instant>,
+    /// Milliseconds from the arrival of the request to the head of the answer.
     first_answer_ms: u128,
     is_ended: bool,
-    /// When the stream may be moved off its server again, none before the first try.
+    /// Earliest time of the next move to another server, `None` before the first.
     next_move_at: Option<Instant>,
 }
 
-/// Returns the answer for the caller, whose body is passed on as it arrives.
+/// Returns the answer for the caller; its body is forwarded as it arrives.
 pub fn forward_stream(
     context: &Arc<RelayContext>,
     request: &Arc<RelayedRequest>,
@@ -89,7 +93,7 @@
 }
 
 impl RelayedStream {
-    /// Returns what the caller gets next, none at the end of a complete stream.
+    /// Returns the next data for the caller, `None` at the end of a complete stream.
     async fn next_data(&mut self) -> Option<Result<Bytes, BrokenBody>> {
         while !self.is_ended {
             if self.should_move() {
@@ -121,6 +125,7 @@
         None
     }
 
+    /// Returns when the stream stops waiting for data from the current server.
     fn read_deadline(&self) -> Instant {
         if !self.may_resume() {
             return self.request.deadline;
@@ -132,6 +137,8 @@
         self.splitter.is_some() && self.attempts.possible_runs < self.request.route.max_attempts
     }
 
+    /// Returns the whole events that `data` completes; all of `data` if the stream cannot be
+    /// resumed.
     fn take_whole_events(&mut self, data: Bytes) -> Result<Bytes, BrokenBody> {
         match &mut self.splitter {
             None => Ok(data),
@@ -139,6 +146,7 @@
         }
     }
 
+    /// Updates the statistics for data that is about to be forwarded.
     fn record_data(&mut self, data: Bytes) -> Bytes {
         let now = Instant::now();
         if let Some(last) = self.last_data_at {
@@ -149,7 +157,7 @@
         data
     }
 
-    /// Ends a complete stream; returns what the server sent behind its last whole event.
+    /// Ends a complete stream; returns the data after the last whole event, if any.
     fn finish(&mut self) -> Option<Bytes> {
         self.is_ended = true;
         if let Some(Answer { exchange, facts, in_flight }) = self.answer.take() {
@@ -160,6 +168,7 @@
         rest.filter(|rest| !rest.is_empty())
     }
 
+    /// Ends an incomplete stream and logs why.
     fn abort(&mut self, reason: &str) -> BrokenBody {
         self.is_ended = true;
         let server = self.answer.take().map(|answer| answer.in_flight.server.clone());
@@ -168,7 +177,7 @@
         BrokenBody
     }
 
-    /// Whether the stream is to leave its server, and can.
+    /// Whether the stream must leave its server and can be resumed at another one now.
     fn should_move(&self) -> bool {
         let Some(answer) = self.answer.as_ref().filter(|_| self.may_resume()) else { return false };
         if self.next_move_at.is_some_and(|at| Instant::now() < at) {
@@ -180,7 +189,7 @@
         has_begun && server.is_some_and(|server| server.is_evicted(Instant::now()))
     }
 
-    /// Goes on at another server, if one takes the stream; until then this one keeps it.
+    /// Moves the stream to another server if one accepts it; otherwise it stays at its server.
     async fn try_move(&mut self) {
         let Some(splitter) = &self.splitter else { return };
         let last_event_id = splitter.last_event_id().cloned();
@@ -193,13 +202,14 @@
             return;
         }
         let resume_deadline = self.request.deadline.min(now + MAX_STREAM_SILENCE);
-        // The run before ends with its answer, as soon as the next one has begun.
+        // The current server continues until the new answer replaces its answer.
         if self.continue_at(&choice, last_event_id, resume_deadline).await {
             self.drop_partial_event();
         }
     }
 
-    /// Goes on at another server after the last whole event; returns whether that worked.
+    /// Resumes an interrupted stream at another server, after the last whole event; returns whether
+    /// that succeeded.
     async fn resume_after(&mut self, error: &PeerError) -> bool {
         let interrupted = self.answer.take();
         if let Some(answer) = &interrupted {
@@ -213,14 +223,15 @@
         self.resume_elsewhere(last_event_id).await
     }
 
-    /// Drops what came behind the last whole event of a run that does not go on.
+    /// Drops the incomplete event at the end of an interrupted answer.
     fn drop_partial_event(&mut self) {
         if let Some(splitter) = &mut self.splitter {
             splitter.take_partial();
         }
     }
 
-    /// Sends the request to further servers until one goes on after `last_event_id`.
+    /// Sends the request to other servers until one continues after `last_event_id`; returns
+    /// whether one did in time.
     async fn resume_elsewhere(&mut self, last_event_id: Option<SmolStr>) -> bool {
         let resume_deadline = self.request.deadline.min(Instant::now() + MAX_STREAM_SILENCE);
         while Instant::now() < resume_deadline {
@@ -239,18 +250,18 @@
         false
     }
 
-    /// Sends the request to `choice`; returns whether its answer is the stream's from now on.
+    /// Sends the request to `choice` and takes over its answer; returns whether that succeeded.
     async fn continue_at(
         &mut self,
         choice: &Choice,
         last_event_id: Option<SmolStr>,
-        resume_deadline: Instant,
+        answer_deadline: Instant,
     ) -> bool {
         let is_last_attempt = self.attempts.is_next_last(&self.request.route);
         self.attempts.tried.push(choice.server.clone());
         let sent =
             attempt::send(&self.context, &self.request, choice, last_event_id, is_last_attempt);
-        let Ok(outcome) = within(resume_deadline, sent).await else {
+        let Ok(outcome) = within(answer_deadline, sent).await else {
             self.attempts.possible_runs += 1;
             return false;
         };
@@ -262,7 +273,8 @@
                 true
             }
             AttemptOutcome::NotRun(NotRunReason::Full) => {
-                // It has room again once a request ends; the choice avoids it until then.
+                // It may be tried again: it has room once a request ends, and `choose` skips it
+                // until then.
                 self.attempts.tried.pop();
                 false
             }
--- a/src/relay/suspension_detector.rs
+++ b/src/relay/suspension_detector.rs
@@ -1,25 +1,26 @@
-//! Notices that the whole machine was suspended: the monotonic clock stands still meanwhile, so that
-//! deadlines kept by it would hold too long.
+//! Detects that the machine was suspended. The monotonic clock stops meanwhile, so deadlines
+//! measured with it would expire too late.
 
 use rustix::time::{ClockId, clock_gettime};
 use std::time::Duration;
 
-/// Gap between the two clocks from which the machine counts as suspended.
+/// Minimum growth of the clocks' difference that counts as a suspension.
 const MIN_SUSPENSION: Duration = Duration::from_millis(300);
 
-/// Compares the clock that counts suspension with the one that does not.
+/// Compares the boot-time clock, which includes suspension, with the monotonic clock.
 #[derive(Clone, Copy, Debug)]
 pub struct SuspensionDetector {
+    /// Lead of the boot-time clock at the last check.
     offset: Duration,
 }
 
 impl SuspensionDetector {
-    /// Returns a clock that compares from now on.
+    /// Returns a detector of suspensions from now on.
     pub fn new() -> Self {
         Self { offset: clock_offset() }
     }
 
-    /// Returns for how long the machine was suspended since the last call, if it was.
+    /// Returns for how long the machine was suspended since the last call, `None` if it was not.
     pub fn take_suspension(&mut self) -> Option<Duration> {
         let offset = clock_offset();
         let gap = offset.saturating_sub(self.offset);
@@ -34,7 +35,7 @@
     }
 }
 
-/// Returns by how much the boot-time clock is ahead of the monotonic one.
+/// Returns the lead of the boot-time clock over the monotonic clock.
 fn clock_offset() -> Duration {
     read_clock(ClockId::Boottime).saturating_sub(read_clock(ClockId::Monotonic))
 }
