--- a/src/relay/control/follow.rs
+++ b/src/relay/control/follow.rs
@@ -49,16 +49,16 @@
     call: &'static str,
     delay: Duration,
     /// Whether the last call failed.
-    is_lost: bool,
+    is_failing: bool,
 }
 
 impl Backoff {
     fn new(call: &'static str) -> Self {
-        Self { call, delay: MIN_RETRY_DELAY, is_lost: false }
+        Self { call, delay: MIN_RETRY_DELAY, is_failing: false }
     }
 
     fn record_success(&mut self) {
-        if self.is_lost {
+        if self.is_failing {
             log::info!("event=store_regained call={}", self.call);
         }
         *self = Self::new(self.call);
@@ -67,11 +67,11 @@
     async fn wait_after_failure(&mut self, context: &RelayContext, error: &PeerError) {
         let labels = ReasonLabels { reason: self.call.to_owned() };
         context.metrics.store_failures.get_or_create(&labels).inc();
-        if self.is_lost {
+        if self.is_failing {
             log::debug!("event=store_call_failed call={} {error}", self.call);
         } else {
             log::warn!("event=store_lost call={} {error}", self.call);
-            self.is_lost = true;
+            self.is_failing = true;
         }
         Timer::after(self.delay).await;
         self.delay = (self.delay * 2).min(MAX_RETRY_DELAY);
--- a/src/relay/control/kv_store.rs
+++ b/src/relay/control/kv_store.rs
@@ -18,13 +18,17 @@
 /// Delay after a failed poll, and between checks whether a store is configured.
 const RETRY_PERIOD: Duration = Duration::from_millis(300);
 
-/// Polls the store at the address in `configured` and sends an event when its state changes.
-pub(super) async fn watch(context: Arc<RelayContext>, configured: Rc<Cell<Option<SocketAddr>>>) {
+/// Polls the store at the address in `configured_address` and sends an event when its state
+/// changes.
+pub(super) async fn poll_store(
+    context: Arc<RelayContext>,
+    configured_address: Rc<Cell<Option<SocketAddr>>>,
+) {
     let mut known_run: Option<(SocketAddr, u64)> = None;
     let mut since = 0;
     let mut is_answering = false;
     loop {
-        let Some(address) = configured.get() else {
+        let Some(address) = configured_address.get() else {
             Timer::after(RETRY_PERIOD).await;
             continue;
         };
--- a/src/relay/control/partners.rs
+++ b/src/relay/control/partners.rs
@@ -137,11 +137,11 @@
 
     /// Sets the addresses to dial: the announced nodes and the configured seed partners.
     pub(super) fn apply_announced(&mut self, nodes: &[AnnouncedNode], now: Instant) {
-        let own = self.partners.membership.local_record().address;
+        let own_address = self.partners.membership.local_record().address;
         let announced = nodes.iter().map(|node| node.address);
         let mut addresses: Vec<SocketAddr> =
             announced.chain(self.context.settings.seed_partners.iter().copied()).collect();
-        addresses.retain(|address| *address != own);
+        addresses.retain(|address| *address != own_address);
         addresses.sort();
         addresses.dedup();
         log::info!("event=nodes_announced addresses={}", addresses.len());
@@ -157,9 +157,9 @@
         outgoing: Sender<Bytes>,
         now: Instant,
     ) {
-        let own = &self.partners.membership.local_record().instance;
+        let own_instance = &self.partners.membership.local_record().instance;
         let link = OpenLink { number, dialed, outgoing };
-        if !self.partners.links.add(own, &peer.instance, link) {
+        if !self.partners.links.add(own_instance, &peer.instance, link) {
             return;
         }
         log::info!("event=link_opened peer={} address={}", peer.instance, peer.address);
@@ -304,6 +304,7 @@
         }
     }
 
+    /// Applies an event to the membership and executes the resulting commands.
     fn advance_membership(&mut self, event: MembershipEvent, now: Instant) {
         for command in self.partners.membership.apply(event, now) {
             match command {
@@ -380,8 +381,8 @@
                 Ok((stream, _)) => {
                     let (context, identity) = (Arc::clone(&context), Rc::clone(&identity));
                     let task = async move {
-                        let own = identity.borrow().clone();
-                        match crate::links::accept(stream, &own).await {
+                        let own_identity = identity.borrow().clone();
+                        match crate::links::accept(stream, &own_identity).await {
                             Ok(link) => run_link(&context, link, false).await,
                             Err(error) => log::warn!("event=link_refused {error}"),
                         }
@@ -399,8 +400,8 @@
 }
 
 async fn dial(context: Arc<RelayContext>, identity: Rc<RefCell<Identity>>, address: SocketAddr) {
-    let own = identity.borrow().clone();
-    match crate::links::dial(address, &own).await {
+    let own_identity = identity.borrow().clone();
+    match crate::links::dial(address, &own_identity).await {
         Ok(link) => run_link(&context, link, true).await,
         Err(error) => {
             log::debug!("event=link_failed {error}");
--- a/src/relay/control/rollout/lease.rs
+++ b/src/relay/control/rollout/lease.rs
@@ -15,8 +15,8 @@
 /// Time between the attempts of successive candidates for the lease.
 const CANDIDATE_STAGGER: Duration = Duration::from_millis(250);
 
-/// Minimum time between calls to the register.
-const REGISTER_RETRY_DELAY: Duration = Duration::from_millis(300);
+/// Delay before the next attempt to acquire the lease.
+const ACQUIRE_RETRY_DELAY: Duration = Duration::from_millis(300);
 
 /// Time after which another call to the register may be sent although one is unanswered.
 const REGISTER_TIMEOUT: Duration = Duration::from_secs(2);
@@ -31,7 +31,7 @@
             return;
         }
         let is_call_pending = self.rollout.register_call_until.is_some_and(|until| now < until);
-        if is_call_pending || now < self.rollout.next_register_call_at {
+        if is_call_pending || now < self.rollout.next_acquire_at {
             return;
         }
         if self.rollout.lease.known().is_none() {
@@ -56,9 +56,10 @@
         u32::try_from(earlier + usize::from(last_is_live)).unwrap_or(u32::MAX)
     }
 
+    /// Reads the record of the register.
     fn read_register(&mut self, now: Instant) {
         self.rollout.register_call_until = Some(now + REGISTER_TIMEOUT);
-        self.rollout.next_register_call_at = now + REGISTER_RETRY_DELAY;
+        self.rollout.next_acquire_at = now + ACQUIRE_RETRY_DELAY;
         let context = Arc::clone(&self.context);
         self.spawn(async move {
             let read = context.ports.store.read_register().await;
@@ -74,7 +75,7 @@
             return;
         };
         self.rollout.register_call_until = Some(now + REGISTER_TIMEOUT);
-        self.rollout.next_register_call_at = now + REGISTER_RETRY_DELAY;
+        self.rollout.next_acquire_at = now + ACQUIRE_RETRY_DELAY;
         let context = Arc::clone(&self.context);
         let holder = self.rollout.instance.clone();
         self.spawn(async move {
@@ -94,7 +95,7 @@
             Ok(record) => {
                 log::info!("event=lease_read number={} holder={}", record.number, record.holder);
                 self.rollout.lease.observe(record, now);
-                self.rollout.next_register_call_at = now;
+                self.rollout.next_acquire_at = now;
                 self.tick_rollouts(now);
             }
             Err(error) => log::warn!("event=lease_read_failed {error}"),
--- a/src/relay/control/rollout/mod.rs
+++ b/src/relay/control/rollout/mod.rs
@@ -30,8 +30,8 @@
     received_notices: ReceivedNotices,
     /// When the pending call to the lease register times out, `None` if no call is pending.
     register_call_until: Option<Instant>,
-    /// Earliest time of the next call to the lease register.
-    next_register_call_at: Instant,
+    /// Earliest time of the next attempt to acquire the lease.
+    next_acquire_at: Instant,
 }
 
 impl RolloutControl {
@@ -49,7 +49,7 @@
             notice_number: 0,
             received_notices: ReceivedNotices::default(),
             register_call_until: None,
-            next_register_call_at: now,
+            next_acquire_at: now,
         }
     }
 
--- a/src/relay/control/rollout/orders.rs
+++ b/src/relay/control/rollout/orders.rs
@@ -15,7 +15,8 @@
 /// report shows whether an unanswered order was carried out.
 const CALL_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// Delay of the next call to the register after an order was rejected for a higher fencing number.
+/// Delay of the next attempt to acquire the lease after an order was rejected for a higher fencing
+/// number.
 const FENCED_RETRY_DELAY: Duration = Duration::from_millis(1_200);
 
 impl ControlState {
@@ -53,7 +54,7 @@
         if outcome == WeightsOrderOutcome::Fenced {
             self.rollout.drop_lease();
             self.rollout.last_coordinator = None;
-            self.rollout.next_register_call_at = now + FENCED_RETRY_DELAY;
+            self.rollout.next_acquire_at = now + FENCED_RETRY_DELAY;
             return;
         }
         let Some(rollout) = self.rollout.rollouts.get_mut(model) else { return };
--- a/src/relay/control/state.rs
+++ b/src/relay/control/state.rs
@@ -29,7 +29,7 @@
 /// Period while a rollout is under way.
 const ROLLOUT_TICK_PERIOD: Duration = Duration::from_millis(25);
 
-/// Arguments of [`start`].
+/// Arguments of [`run_control`].
 pub struct ControlParts {
     /// State shared with the traffic thread.
     pub context: Arc<RelayContext>,
@@ -61,12 +61,12 @@
 }
 
 /// Runs the control thread: starts its tasks and handles events.
-pub async fn start(executor: Weak<LocalExecutor<'static>>, parts: ControlParts) {
+pub async fn run_control(executor: Weak<LocalExecutor<'static>>, parts: ControlParts) {
     let now = Instant::now();
     let ControlParts { context, instance, events, partners: listener, partner_address } = parts;
     let partners = Partners::new(&context, instance.clone(), partner_address, now);
     let identity: Rc<RefCell<Identity>> = partners.identity();
-    let kv_store = Rc::new(Cell::new(None));
+    let kv_store_address = Rc::new(Cell::new(None));
     let mut state = ControlState {
         rollout: RolloutControl::new(instance, context.settings.rollout_lease_ms),
         replica: Replica::default(),
@@ -74,7 +74,7 @@
         partners,
         loads: LoadExchange::new(now),
         targets: BTreeMap::new(),
-        kv_store_address: Rc::clone(&kv_store),
+        kv_store_address: Rc::clone(&kv_store_address),
         suspension_detector: SuspensionDetector::new(),
         executor,
         context: Arc::clone(&context),
@@ -83,11 +83,11 @@
     state.apply_announced(&[], now);
     follow::start(&state, partner_address);
     state.spawn(partners::accept_links(Arc::clone(&context), identity, listener));
-    state.spawn(kv_store::watch(context, kv_store));
-    run(state, events).await;
+    state.spawn(kv_store::poll_store(context, kv_store_address));
+    run_event_loop(state, events).await;
 }
 
-async fn run(mut state: ControlState, events: Receiver<RelayControlEvent>) {
+async fn run_event_loop(mut state: ControlState, events: Receiver<RelayControlEvent>) {
     let mut next_tick_at = Instant::now();
     loop {
         let received = async { events.recv().await.map(Some).ok() };
--- a/src/relay/node.rs
+++ b/src/relay/node.rs
@@ -91,7 +91,7 @@
         };
         let control_thread = spawn_control(
             String::from("control"),
-            move |executor| control::start(executor, control_parts),
+            move |executor| control::run_control(executor, control_parts),
             stopped.clone(),
         )?;
         serve_callers(&executor, &context, callers, draining);
