--- a/src/relay/attempt.rs
+++ b/src/relay/attempt.rs
@@ -1,7 +1,7 @@
-//! One attempt: a request at one server, up to the head of the answer.
+//! One attempt of a request: sends it to a server and receives the head of the answer.
 
 use super::RelayContext;
-use super::control::RelayEvent;
+use super::control::RelayControlEvent;
 use super::request::RelayedRequest;
 use crate::adapters::connection_pool::PooledExchange;
 use crate::decision::relay::server::{ServerLoad, UnreadTokens};
@@ -20,22 +20,23 @@
 use std::time::{Duration, Instant};
 use strum::Display;
 
-/// Time for which a server that rejected a request as full gets no further ones.
+/// Time for which a server that rejected a request as full gets no new ones.
 const FULL_PERIOD: Duration = Duration::from_millis(120);
 
-/// Period in which a repeatable request looks whether its server has fallen silent.
-const SILENCE_CHECK_PERIOD: Duration = Duration::from_millis(100);
+/// Period at which a retryable request checks whether its server is silent or slow.
+const SERVER_CHECK_PERIOD: Duration = Duration::from_millis(100);
 
-/// Latency objectives after which an idempotent request is given to another server.
-const IDEMPOTENT_PATIENCE: u32 = 2;
+/// Number of latency objectives after which a server counts as slow for a request other than a
+/// stream.
+const SLOW_AFTER_OBJECTIVES: u32 = 2;
 
-/// How an attempt ended.
-pub enum AttemptEnd {
-    /// The server answered; the answer may say that it failed.
+/// Outcome of an attempt.
+pub enum AttemptOutcome {
+    /// The server answered, possibly with a failure.
     Answered(Box<Answer>),
     /// The server did not run the request and never will.
     NotRun(NotRunReason),
-    /// Nothing reached the server.
+    /// The request did not reach the server.
     NotSent(PeerError),
     /// The server may have run the request.
     Unknown(PeerError),
@@ -45,37 +46,39 @@
 #[derive(Clone, Copy, Debug, Display, Eq, PartialEq)]
 #[strum(serialize_all = "snake_case")]
 pub enum NotRunReason {
-    /// It was full or changed its weights.
+    /// The server was full or was replacing its weights.
     Full,
-    /// Another server answers at the address.
+    /// Another server listens at the address.
     Misdirected,
-    /// It holds other weights.
+    /// The server has loaded other weights.
     OtherWeights,
 }
 
 /// Answer whose head has arrived.
 pub struct Answer {
-    /// Exchange with the server.
+    /// Exchange from which the body can be read.
     pub exchange: PooledExchange,
-    /// What the head says.
+    /// Contents of the head.
     pub facts: AnswerHead,
-    /// Place that the request takes at the server.
-    pub ticket: Ticket,
+    /// The attempt, which counts towards the load of the server.
+    pub in_flight: InFlightAttempt,
 }
 
-/// Place that a request takes at a server, until it is dropped.
-pub struct Ticket {
+/// Attempt that counts towards the load of its server until dropped.
+pub struct InFlightAttempt {
     context: Arc<RelayContext>,
-    /// Server.
+    /// Server that the request was sent to.
     pub server: ServerId,
+    /// Number of the attempt.
     attempt: u64,
     load: ServerLoad,
-    is_read: bool,
+    /// Whether the prompt has been prefilled.
+    is_prefilled: bool,
 }
 
-impl Ticket {
+impl InFlightAttempt {
     fn new(context: Arc<RelayContext>, request: &RelayedRequest, choice: &Choice) -> Self {
-        let attempt = context.next_attempt.fetch_add(1, Ordering::Relaxed);
+        let attempt = context.next_number.fetch_add(1, Ordering::Relaxed);
         let (server, load) = (choice.server.clone(), choice.load);
         let now = Instant::now();
         let mut fleet = context.fleet();
@@ -96,62 +99,66 @@
             }
         }
         drop(fleet);
-        Self { context, server, attempt, load, is_read: false }
+        Self { context, server, attempt, load, is_prefilled: false }
     }
 
-    /// Takes in a sign of the server.
-    pub fn note_heard(&mut self) {
+    /// Records that the server sent something. The first time, the prompt counts as prefilled.
+    pub fn record_contact(&mut self) {
         let mut fleet = self.context.fleet();
         if let Some(server) = fleet.server_mut(&self.server) {
             server.health.record_contact(Instant::now());
         }
-        if !self.is_read {
-            self.is_read = true;
+        if !self.is_prefilled {
+            self.is_prefilled = true;
             fleet.finish_prefill(&self.server, self.attempt, self.load.unread_tokens);
             self.load.unread_tokens = UnreadTokens::default();
         }
     }
 
-    /// Takes in whether the server did what it was asked, and how much later than expected.
-    pub fn note_outcome(&self, succeeded: bool, slower_by_ms: f64) {
+    /// Records whether the server succeeded, and how many milliseconds later than expected it
+    /// answered.
+    pub fn record_outcome(&self, succeeded: bool, delay_ms: f64) {
         if let Some(server) = self.context.fleet().server_mut(&self.server) {
-            server.health.record_outcome(succeeded, slower_by_ms, Instant::now());
+            server.health.record_outcome(succeeded, delay_ms, Instant::now());
         }
     }
 }
 
-impl Drop for Ticket {
+impl Drop for InFlightAttempt {
     fn drop(&mut self) {
         self.context.fleet().end_request(&self.server, self.attempt, self.load);
     }
 }
 
 /// Sends `request` to the chosen server and waits for the head of its answer.
+///
+/// Unless it is the last attempt, a retryable request stops waiting when the server is silent or
+/// slow.
 pub async fn send(
     context: &Arc<RelayContext>,
     request: &RelayedRequest,
     choice: &Choice,
     last_event_id: Option<SmolStr>,
-    is_last: bool,
-) -> AttemptEnd {
+    is_last_attempt: bool,
+) -> AttemptOutcome {
     let sent_at = Instant::now();
-    let mut ticket = Ticket::new(Arc::clone(context), request, choice);
+    let mut in_flight = InFlightAttempt::new(Arc::clone(context), request, choice);
     let outgoing = outgoing_request(context, request, choice, last_event_id, sent_at);
     let exchange = context.pool.send(&choice.server, choice.address, outgoing, request.deadline);
-    let sent = if request.route.retry_safety.is_retryable() && !is_last {
-        exchange.or(watch(context, request, &choice.server, sent_at)).await
+    let sent = if request.route.retry_safety.is_retryable() && !is_last_attempt {
+        exchange.or(watch_server(context, request, &choice.server, sent_at)).await
     } else {
         exchange.await
     };
     let exchange = match sent {
         Ok(exchange) => exchange,
-        Err(error) => return failed(context, request, choice, &ticket, error),
+        Err(error) => return handle_failure(context, request, choice, &in_flight, error),
     };
-    ticket.note_heard();
+    in_flight.record_contact();
     let facts = context.ports.dialect.read_answer(exchange.status, &exchange.headers);
-    learn_weights(context, request, choice, &facts);
+    update_weights(context, request, choice, &facts);
     if facts.is_not_run {
-        let reason = not_run(context, request, choice, exchange.status, &facts);
+        let reason = record_not_run(context, request, choice, exchange.status, &facts);
         log::info!(
             "event=not_run request={} server={} status={} reason={reason} weights={} believed={}",
             request.id,
@@ -160,22 +167,22 @@
             facts.weights.unwrap_or_default(),
             choice.prompt.as_ref().map_or(0, |prompt| prompt.weights)
         );
-        return AttemptEnd::NotRun(reason);
+        return AttemptOutcome::NotRun(reason);
     }
-    let first_ms = sent_at.elapsed().as_secs_f64() * 1_000.0;
+    let answer_ms = sent_at.elapsed().as_secs_f64() * 1_000.0;
     let succeeded = !exchange.status.is_server_error();
-    ticket.note_outcome(succeeded, first_ms - choice.expected_ms);
-    if let Some(error) = unusable(request, choice, exchange.status, &facts) {
-        ticket.note_outcome(false, 0.0);
-        return AttemptEnd::Unknown(error);
+    in_flight.record_outcome(succeeded, answer_ms - choice.expected_ms);
+    if let Some(error) = find_answer_fault(request, choice, exchange.status, &facts) {
+        in_flight.record_outcome(false, 0.0);
+        return AttemptOutcome::Unknown(error);
     }
     if succeeded
         && let Some(prompt) = choice.prompt.as_ref().filter(|prompt| prompt.save_to.is_some())
     {
         context.fleet().prefixes.add_stored(&prompt.keys, Instant::now());
-        context.tell_control(RelayEvent::Stored);
+        context.notify_control(RelayControlEvent::PrefixesStored);
     }
-    AttemptEnd::Answered(Box::new(Answer { exchange, facts, ticket }))
+    AttemptOutcome::Answered(Box::new(Answer { exchange, facts, in_flight }))
 }
 
 fn outgoing_request(
@@ -208,8 +215,8 @@
     outgoing
 }
 
-/// Ends when the server has fallen silent or takes longer than another one would.
-async fn watch<T>(
+/// Returns an error once the server is silent, or too slow for a request other than a stream.
+async fn watch_server<T>(
     context: &RelayContext,
     request: &RelayedRequest,
     server: &ServerId,
@@ -218,10 +225,10 @@
     let objective = Duration::from_millis(request.route.latency_objective_ms.max(1));
     let is_stream = request.route.retry_safety.is_stream();
     loop {
-        Timer::after(SILENCE_CHECK_PERIOD).await;
+        Timer::after(SERVER_CHECK_PERIOD).await;
         let now = Instant::now();
         let is_silent = context.fleet().server(server).is_none_or(|s| s.is_silent(now));
-        let is_slow = !is_stream && now >= sent_at + objective * IDEMPOTENT_PATIENCE;
+        let is_slow = !is_stream && now >= sent_at + objective * SLOW_AFTER_OBJECTIVES;
         if is_silent || is_slow {
             let reason = if is_silent { "the server is silent" } else { "the server is slow" };
             let error = anyhow!(reason);
@@ -230,30 +237,32 @@
     }
 }
 
-fn failed(
+/// Records a failed attempt and returns its outcome.
+fn handle_failure(
     context: &RelayContext,
     request: &RelayedRequest,
     choice: &Choice,
-    ticket: &Ticket,
+    in_flight: &InFlightAttempt,
     error: PeerError,
-) -> AttemptEnd {
+) -> AttemptOutcome {
     let labels = ReasonLabels { reason: error.step.to_string() };
     context.metrics.server_failures.get_or_create(&labels).inc();
     log::info!("event=attempt_failed request={} route={} {error}", request.id, request.route.name);
     if error.delivery == Delivery::NotSent {
         if error.step == Step::Connect {
-            suspend(context, choice);
+            suspend_server(context, choice);
         }
-        return AttemptEnd::NotSent(error);
+        return AttemptOutcome::NotSent(error);
     }
-    ticket.note_outcome(false, 0.0);
+    in_flight.record_outcome(false, 0.0);
     if error.is_disconnect() {
-        note_cut(context, request, choice);
+        request_crash_check(context, request, choice);
     }
-    AttemptEnd::Unknown(error)
+    AttemptOutcome::Unknown(error)
 }
 
-fn suspend(context: &RelayContext, choice: &Choice) {
+/// Closes the connections to a server and sends it no requests for a while.
+fn suspend_server(context: &RelayContext, choice: &Choice) {
     context.pool.close_idle_connections(&choice.server);
     let now = Instant::now();
     let Some(until) = context
@@ -267,18 +276,20 @@
     log::info!("event=server_suspended server={} for_ms={for_ms}", choice.server);
 }
 
-/// Has the control thread look whether the server crashed, and counts that against the request.
-pub fn note_cut(context: &RelayContext, request: &RelayedRequest, choice: &Choice) {
-    let run = context.fleet().server(&choice.server).and_then(|s| s.entry.started_unix_ms);
-    context.tell_control(RelayEvent::Cut {
+/// Makes the control thread check whether the server crashed; a crash is a strike against the
+/// request.
+pub fn request_crash_check(context: &RelayContext, request: &RelayedRequest, choice: &Choice) {
+    let incarnation = context.fleet().server(&choice.server).and_then(|s| s.entry.started_unix_ms);
+    context.notify_control(RelayControlEvent::ExchangeCut {
         server: choice.server.clone(),
         address: choice.address,
-        run: run.unwrap_or_default(),
+        incarnation: incarnation.unwrap_or_default(),
         fingerprint: request.fingerprint,
     });
 }
 
-fn learn_weights(
+/// Records the weights that the answer reports, if they are not the expected ones.
+fn update_weights(
     context: &RelayContext,
     request: &RelayedRequest,
     choice: &Choice,
@@ -297,12 +308,13 @@
     }
 }
 
-/// Whether another server answers at the address.
+/// Whether another server listens at the address.
 fn is_misdirected(choice: &Choice, facts: &AnswerHead) -> bool {
     facts.server.as_ref().is_some_and(|server| *server != choice.server)
 }
 
-fn not_run(
+/// Records why the server did not run the request, so that the next choice avoids it.
+fn record_not_run(
     context: &RelayContext,
     request: &RelayedRequest,
     choice: &Choice,
@@ -311,7 +323,7 @@
 ) -> NotRunReason {
     let now = Instant::now();
     if is_misdirected(choice, facts) {
-        suspend(context, choice);
+        suspend_server(context, choice);
         return NotRunReason::Misdirected;
     }
     if let Some(prompt) = &choice.prompt
@@ -331,8 +343,8 @@
     NotRunReason::Full
 }
 
-/// Returns an error if the answer cannot be the server's answer to this request.
-fn unusable(
+/// Returns an error if the answer cannot be the answer of a server that ran this request.
+fn find_answer_fault(
     request: &RelayedRequest,
     choice: &Choice,
     status: StatusCode,
@@ -342,11 +354,11 @@
     let fault = if facts.request_id.as_ref() != Some(&request.id) {
         "the answer belongs to another request"
     } else if status.is_success() && !facts.is_signed {
-        "the answer bears no signature"
+        "the answer is not signed"
     } else if facts.has_content_encoding {
         "the answer is encoded"
     } else if promises_no_run || status.is_informational() {
-        "the status does not fit a request that was run"
+        "the status contradicts that the request was run"
     } else {
         return None;
     };
--- a/src/relay/answer.rs
+++ b/src/relay/buffered_answer.rs
@@ -1,4 +1,4 @@
-//! Answers that are passed on whole.
+//! Answers that are read completely before they are forwarded.
 
 use super::RelayContext;
 use super::attempt::Answer;
@@ -12,28 +12,28 @@
 use http::Response;
 use std::time::{Duration, Instant};
 
-/// Largest answer that is held in memory.
-const ANSWER_LIMIT_BYTES: usize = 4 * 1024 * 1024;
+/// Maximum size of a buffered answer.
+const MAX_ANSWER_BYTES: usize = 4 * 1024 * 1024;
 
-/// Idle time after which a connection is not used again if its server names none.
-const DEFAULT_IDLE: Duration = Duration::from_millis(500);
+/// Idle time after which a connection is not reused, if the server announces no keep-alive timeout.
+const DEFAULT_IDLE_PERIOD: Duration = Duration::from_millis(500);
 
-/// Time before a server closes an idle connection from which it is not used again.
+/// Time before the announced keep-alive timeout from which a connection is not reused.
 const IDLE_MARGIN: Duration = Duration::from_millis(300);
 
-/// Reads the whole answer and returns it for the caller.
+/// Reads the complete answer and returns it for the caller.
 ///
 /// # Errors
 ///
-/// The answer broke off.
-pub async fn answer(
+/// An answer that ends early, is too large or misses the deadline.
+pub async fn forward_buffered(
     context: &RelayContext,
     request: &RelayedRequest,
     mut received: Answer,
 ) -> PeerResult<Reply> {
-    let read = received.exchange.read_all(ANSWER_LIMIT_BYTES, request.deadline).await;
+    let read = received.exchange.read_all(MAX_ANSWER_BYTES, request.deadline).await;
     let body = read.inspect_err(|error| {
-        received.ticket.note_outcome(false, 0.0);
+        received.in_flight.record_outcome(false, 0.0);
         log::info!("event=answer_broken request={} {error}", request.id);
     })?;
     let status = received.exchange.status;
@@ -46,25 +46,25 @@
         request.id,
         request.route.name,
         status.as_u16(),
-        received.ticket.server,
+        received.in_flight.server,
         request.age_ms()
     );
     context.metrics.observe_first_answer(&request.route.name, request.arrived_at);
-    stream::count(context, request, outcome);
-    let Answer { exchange, facts, ticket } = received;
-    keep(context, exchange, &facts);
-    drop(ticket);
+    stream::count_outcome(context, request, outcome);
+    let Answer { exchange, facts, in_flight } = received;
+    return_to_pool(context, exchange, &facts);
+    drop(in_flight);
     Ok(reply)
 }
 
-/// Keeps the connection of a complete answer for later requests.
-pub fn keep(context: &RelayContext, exchange: PooledExchange, facts: &AnswerHead) {
+/// Returns the connection of a complete answer to the pool, unless the server closes it.
+pub fn return_to_pool(context: &RelayContext, exchange: PooledExchange, facts: &AnswerHead) {
     if facts.closes_connection {
         return;
     }
     let idle = match facts.keep_alive_s {
         Some(seconds) => Duration::from_secs(seconds).saturating_sub(IDLE_MARGIN),
-        None => DEFAULT_IDLE,
+        None => DEFAULT_IDLE_PERIOD,
     };
     context.pool.release(exchange, Instant::now() + idle);
 }
--- a/src/relay/control/partners.rs
+++ b/src/relay/control/partners.rs
@@ -1,6 +1,6 @@
-//! Partner links of a relay node: records, loads, strikes and rollouts go over them.
+//! Partner links of a relay node, which carry records, loads, strikes and rollout notices.
 
-use super::RelayEvent;
+use super::RelayControlEvent;
 use super::records::RecordSource;
 use super::state::ControlState;
 use crate::decision::membership::{
@@ -28,40 +28,43 @@
 use std::time::{Duration, Instant};
 use strum::IntoEnumIterator;
 
-/// Messages that may wait for a link's connection.
-const LINK_QUEUE: usize = 64;
+/// Maximum messages that wait to be sent over a link.
+const MAX_QUEUED_MESSAGES: usize = 64;
 
-/// Period in which a node tells its partners how recent its records are.
+/// Period at which a node sends its partners a digest of its topics.
 const DIGEST_PERIOD: Duration = Duration::from_millis(300);
 
-/// Time for which the answer to a request for records is waited for.
+/// Time after which an unanswered request for records may be repeated.
 const RECORDS_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// Time to wait after a connection could not be accepted.
-const ACCEPT_RETRY: Duration = Duration::from_millis(50);
+/// Delay after a connection could not be accepted.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// Bytes of keyed records in one message at most.
-const PART_BYTES: usize = MAX_MESSAGE_BYTES / 2;
+/// Maximum bytes of record values in one message.
+const MAX_DELTA_BYTES: usize = MAX_MESSAGE_BYTES / 2;
 
-/// Links and membership.
+/// Partner links and membership of a node.
 pub(super) struct Partners {
     membership: MembershipState,
     identity: Rc<RefCell<Identity>>,
     links: LinkTable,
     /// Live nodes, this one included.
     live: Vec<InstanceId>,
-    /// Changes of the membership that are taken into account.
-    noted_changes: Option<u64>,
-    /// Highest number of live nodes seen; the shares of a site's allowances go by it.
-    most_nodes: u32,
+    /// Change count of the membership when its changes were last applied, `None` before the first
+    /// time.
+    applied_changes: Option<u64>,
+    /// Highest number of live nodes so far; divides the resend allowance and the store link among
+    /// nodes.
+    max_live_nodes: u32,
     next_digest_at: Instant,
-    are_topics_changed: bool,
-    /// Offsets up to which records were requested, and until when they are waited for.
-    requested: BTreeMap<RecordTopic, (LogOffset, Instant)>,
+    /// Whether records changed since the last digest.
+    has_new_records: bool,
+    /// Offset below which records were requested, and when that request times out, by topic.
+    pending_requests: BTreeMap<RecordTopic, (LogOffset, Instant)>,
 }
 
 impl Partners {
-    /// Returns the partners of a node that has just started.
+    /// Returns the state of a node without partners.
     pub(super) fn new(
         context: &RelayContext,
         instance: InstanceId,
@@ -80,25 +83,25 @@
             identity: Rc::new(RefCell::new(identity)),
             links: LinkTable::default(),
             live: Vec::new(),
-            noted_changes: None,
-            most_nodes: 1,
+            applied_changes: None,
+            max_live_nodes: 1,
             next_digest_at: now,
-            are_topics_changed: false,
-            requested: BTreeMap::new(),
+            has_new_records: false,
+            pending_requests: BTreeMap::new(),
         }
     }
 
-    /// Returns what links prove.
+    /// Returns the identity that this node presents on links.
     pub(super) fn identity(&self) -> Rc<RefCell<Identity>> {
         Rc::clone(&self.identity)
     }
 
-    /// Returns the highest number of live nodes seen.
-    pub(super) fn most_nodes(&self) -> u32 {
-        self.most_nodes
+    /// Returns the highest number of live nodes so far.
+    pub(super) fn max_live_nodes(&self) -> u32 {
+        self.max_live_nodes
     }
 
-    /// Returns the live members with this node, in the order of their ids.
+    /// Returns the live nodes including this one, ordered by id.
     pub(super) fn live_instances(&self) -> &[InstanceId] {
         &self.live
     }
@@ -111,12 +114,12 @@
         all
     }
 
-    /// Whether there is a link to a node.
-    pub(super) fn is_linked(&self, peer: &InstanceId) -> bool {
+    /// Whether a link to `peer` is open.
+    pub(super) fn has_link(&self, peer: &InstanceId) -> bool {
         self.links.get(peer).is_some()
     }
 
-    /// Sends a message to a partner.
+    /// Sends a message to a partner; drops it if the queue of the link is full.
     pub(super) fn send(&self, to: &InstanceId, message: &PartnerMessage) {
         if self.links.send(to, message) == SendOutcome::Dropped {
             log::warn!("event=link_message_dropped peer={to} kind={}", message.kind());
@@ -125,27 +128,27 @@
 }
 
 impl ControlState {
-    /// Sends a message to all partners but `source`.
-    pub(super) fn send_partners(&self, source: Option<&InstanceId>, message: &PartnerMessage) {
+    /// Sends a message to all partners except `source`.
+    pub(super) fn broadcast(&self, source: Option<&InstanceId>, message: &PartnerMessage) {
         for peer in self.partners.links.peers().filter(|peer| Some(*peer) != source) {
             self.partners.send(peer, message);
         }
     }
 
-    /// Takes in nodes that announced themselves.
+    /// Sets the addresses to dial: the announced nodes and the configured seed partners.
     pub(super) fn apply_announced(&mut self, nodes: &[AnnouncedNode], now: Instant) {
-        let own = self.partners.membership.local_record().address;
+        let own_address = self.partners.membership.local_record().address;
         let announced = nodes.iter().map(|node| node.address);
         let mut addresses: Vec<SocketAddr> =
             announced.chain(self.context.settings.seed_partners.iter().copied()).collect();
-        addresses.retain(|address| *address != own);
+        addresses.retain(|address| *address != own_address);
         addresses.sort();
         addresses.dedup();
         log::info!("event=nodes_announced addresses={}", addresses.len());
         self.advance_membership(MembershipEvent::SeedAddresses(addresses), now);
     }
 
-    /// Adds a link unless another one to the same peer stays.
+    /// Adds a link unless another link to the same peer takes precedence.
     pub(super) fn open_link(
         &mut self,
         number: u64,
@@ -154,9 +157,9 @@
         outgoing: Sender<Bytes>,
         now: Instant,
     ) {
-        let own = &self.partners.membership.local_record().instance;
+        let own_instance = &self.partners.membership.local_record().instance;
         let link = LinkHandle { number, dialed, outgoing };
-        if !self.partners.links.add(own, &peer.instance, link) {
+        if !self.partners.links.add(own_instance, &peer.instance, link) {
             return;
         }
         log::info!("event=link_opened peer={} address={}", peer.instance, peer.address);
@@ -169,8 +172,8 @@
         }
     }
 
-    /// Takes in a message of a partner.
-    pub(super) fn receive(&mut self, number: u64, received: ReceivedMessage, now: Instant) {
+    /// Handles a message from a partner.
+    pub(super) fn receive_message(&mut self, number: u64, received: ReceivedMessage, now: Instant) {
         let Some(peer) = self.partners.links.peer(number).cloned() else { return };
         self.advance_membership(MembershipEvent::MessageReceived(peer.clone()), now);
         let Some(message) = received.message else { return };
@@ -184,14 +187,14 @@
             PartnerMessage::Strikes(strikes) => self.add_strikes(Some(&peer), strikes, now),
             PartnerMessage::Topics(digests) => self.apply_digests(&peer, &digests, now),
             PartnerMessage::RecordsRequest(digest) => self.send_records(&peer, digest),
-            PartnerMessage::Records(part) => {
-                let source = match part.from {
+            PartnerMessage::Records(delta) => {
+                let source = match delta.from {
                     None => RecordSource::Copy(peer),
                     Some(_) => RecordSource::Partner(peer),
                 };
-                let news = self.replica.apply_delta(*part);
-                self.apply_news(&news, &source, now);
-                self.note_listed();
+                let updates = self.replica.apply_delta(*delta);
+                self.apply_updates(&updates, &source, now);
+                self.mark_servers_listed();
             }
             PartnerMessage::RelayLoad(load) => self.apply_load(&peer, &load, now),
             PartnerMessage::Rollout(notice) => self.receive_rollout_notice(&peer, notice, now),
@@ -199,7 +202,7 @@
         }
     }
 
-    /// Takes in the end of a link.
+    /// Handles the end of a link.
     pub(super) fn end_link(&mut self, number: u64, end: &LinkEnd, now: Instant) {
         let Some(peer) = self.partners.links.peer(number).cloned() else { return };
         let graceful = match end {
@@ -213,44 +216,44 @@
         self.advance_membership(MembershipEvent::LinkClosed { peer, graceful }, now);
     }
 
-    /// Takes in that a link could not be opened.
-    pub(super) fn fail_dial(&mut self, address: SocketAddr, now: Instant) {
+    /// Handles a failure to open a link.
+    pub(super) fn handle_failed_dial(&mut self, address: SocketAddr, now: Instant) {
         self.advance_membership(MembershipEvent::DialFailed(address), now);
     }
 
-    /// Tells partners that the node stops.
+    /// Notifies partners that this node is leaving.
     pub(super) fn leave_partners(&mut self, now: Instant) {
         self.advance_membership(MembershipEvent::Leave, now);
     }
 
-    /// Does the periodic work.
+    /// Runs the periodic work of membership and sends digests.
     pub(super) fn tick_partners(&mut self, now: Instant) {
         self.advance_membership(MembershipEvent::Tick, now);
-        let is_changed = std::mem::take(&mut self.partners.are_topics_changed);
-        if is_changed || now >= self.partners.next_digest_at {
+        let is_digest_due = std::mem::take(&mut self.partners.has_new_records);
+        if is_digest_due || now >= self.partners.next_digest_at {
             self.partners.next_digest_at = now + DIGEST_PERIOD;
-            self.send_partners(None, &PartnerMessage::Topics(self.topic_digests(now)));
+            self.broadcast(None, &PartnerMessage::Topics(self.topic_digests(now)));
         }
     }
 
-    /// Has partners told of newer records with the next tick.
-    pub(super) fn announce_topics(&mut self) {
-        self.partners.are_topics_changed = true;
+    /// Schedules a digest for the next tick, since records have changed.
+    pub(super) fn schedule_digest(&mut self) {
+        self.partners.has_new_records = true;
     }
 
     fn topic_digests(&self, now: Instant) -> Vec<TopicDigest> {
-        let watch = self.record_watch.borrow();
+        let schedule = self.read_schedule.borrow();
         let digest = |topic| TopicDigest {
             topic,
             known_below: self.replica.known_below(topic),
-            age_ms: watch
+            age_ms: schedule
                 .age(topic, now)
                 .map(|age| u64::try_from(age.as_millis()).unwrap_or(u64::MAX)),
         };
         RecordTopic::iter().map(digest).collect()
     }
 
-    /// Takes in what a partner knows, and asks it for what this node does not know yet.
+    /// Compares a partner's digests with the replica and requests the records that this node lacks.
     fn apply_digests(&mut self, peer: &InstanceId, digests: &[TopicDigest], now: Instant) {
         for &TopicDigest { topic, known_below, age_ms } in digests {
             let known = self.replica.known_below(topic);
@@ -258,48 +261,50 @@
                 let confirmed_at =
                     age_ms.and_then(|age_ms| now.checked_sub(Duration::from_millis(age_ms)));
                 if let Some(confirmed_at) = confirmed_at.filter(|_| known_below == known) {
-                    self.record_watch.borrow_mut().confirm(topic, confirmed_at);
+                    self.read_schedule.borrow_mut().confirm(topic, confirmed_at);
                 }
                 continue;
             }
             let Some(offset) = known_below else { continue };
-            let requested = self.partners.requested.get(&topic);
-            if requested.is_some_and(|(below, until)| *below >= offset && now < *until) {
+            let pending = self.partners.pending_requests.get(&topic);
+            if pending.is_some_and(|(below, until)| *below >= offset && now < *until) {
                 continue;
             }
-            self.partners.requested.insert(topic, (offset, now + RECORDS_TIMEOUT));
+            self.partners.pending_requests.insert(topic, (offset, now + RECORDS_TIMEOUT));
             let request = TopicDigest { topic, known_below: known, age_ms: None };
             self.partners.send(peer, &PartnerMessage::RecordsRequest(request));
         }
     }
 
-    /// Sends a partner what it lacks, in parts that fit into messages.
+    /// Sends a partner the records that it lacks, split into messages of limited size.
     fn send_records(&self, peer: &InstanceId, digest: TopicDigest) {
-        let Some(mut part) = self.replica.delta(digest.topic, digest.known_below) else { return };
-        part.records.sort_by_key(|record| record.offset);
+        let Some(mut delta) = self.replica.delta(digest.topic, digest.known_below) else { return };
+        delta.records.sort_by_key(|record| record.offset);
         let size = |value: &Option<Bytes>| value.as_ref().map_or(0, Bytes::len);
-        let mut rest = std::mem::take(&mut part.records).into_iter().peekable();
+        let mut rest = std::mem::take(&mut delta.records).into_iter().peekable();
         loop {
-            let mut part = part.clone();
+            let mut delta = delta.clone();
             let mut bytes = 0;
             while let Some(record) =
-                rest.next_if(|next| bytes == 0 || bytes + size(&next.value) <= PART_BYTES)
+                rest.next_if(|next| bytes == 0 || bytes + size(&next.value) <= MAX_DELTA_BYTES)
             {
                 bytes += size(&record.value).max(1);
-                part.records.push(record);
+                delta.records.push(record);
             }
             let is_last = rest.peek().is_none();
             if !is_last {
-                // Only the last part makes the receiver's knowledge complete.
-                part.from = Some(u64::MAX);
+                // A `from` beyond all offsets marks the delta as incomplete; only the last delta
+                // raises the offset below which the receiver knows all records.
+                delta.from = Some(u64::MAX);
             }
-            self.partners.send(peer, &PartnerMessage::Records(Box::new(part)));
+            self.partners.send(peer, &PartnerMessage::Records(Box::new(delta)));
             if is_last {
                 return;
             }
         }
     }
 
+    /// Applies an event to the membership and executes the resulting commands.
     fn advance_membership(&mut self, event: MembershipEvent, now: Instant) {
         for command in self.partners.membership.apply(event, now) {
             match command {
@@ -322,19 +327,20 @@
         }
         self.partners.identity.borrow_mut().record =
             self.partners.membership.local_record().clone();
-        self.note_nodes();
+        self.apply_membership_changes();
     }
 
-    fn note_nodes(&mut self) {
+    /// Updates what depends on the live nodes: read schedule, load exchange, metrics and shares.
+    fn apply_membership_changes(&mut self) {
         let links = i64::try_from(self.partners.links.peers().len()).unwrap_or(i64::MAX);
         self.context.metrics.links.set(links);
         let changes = Some(self.partners.membership.change_count());
-        if changes != self.partners.noted_changes {
-            self.partners.noted_changes = changes;
+        if changes != self.partners.applied_changes {
+            self.partners.applied_changes = changes;
             let live = self.partners.list_live();
             let topics: Vec<RecordTopic> = RecordTopic::iter().collect();
             let me = &self.partners.membership.local_record().instance;
-            self.record_watch.borrow_mut().set_nodes(me, &live, &topics);
+            self.read_schedule.borrow_mut().set_nodes(me, &live, &topics);
             self.partners.live = live;
             let place = self.partners.membership.tree_place();
             let is_tree = self.partners.membership.exceeds_full_mesh();
@@ -348,9 +354,9 @@
             }
         }
         let nodes = self.partners.membership.live_nodes();
-        if nodes > self.partners.most_nodes {
-            self.partners.most_nodes = nodes;
-            self.context.budget().set_nodes(nodes);
+        if nodes > self.partners.max_live_nodes {
+            self.partners.max_live_nodes = nodes;
+            self.context.resend_budget().set_nodes(nodes);
             if let Some(store) = &mut self.context.fleet().kv_store {
                 store.set_nodes(nodes, Instant::now());
             }
@@ -359,8 +365,8 @@
     }
 }
 
-/// Accepts partner links without end.
-pub(super) async fn listen(
+/// Accepts and runs partner links until the thread stops.
+pub(super) async fn accept_links(
     context: Arc<RelayContext>,
     identity: Rc<RefCell<Identity>>,
     listener: TcpListener,
@@ -369,15 +375,15 @@
     let accept = async {
         loop {
             match listener.accept().await {
-                // Nodes that still find the address in the store dial a node that has left them.
+                // Other nodes still find the address in the store and dial it after this node left.
                 Ok(_) if context.is_stopping.load(Ordering::Acquire) => {
                     log::debug!("event=link_refused reason=stopping");
                 }
                 Ok((stream, _)) => {
                     let (context, identity) = (Arc::clone(&context), Rc::clone(&identity));
                     let task = async move {
-                        let own = identity.borrow().clone();
-                        match crate::links::accept(stream, &own).await {
+                        let own_identity = identity.borrow().clone();
+                        match crate::links::accept(stream, &own_identity).await {
                             Ok(link) => run_link(&context, link, false).await,
                             Err(error) => log::warn!("event=link_refused {error}"),
                         }
@@ -386,7 +392,7 @@
                 }
                 Err(error) => {
                     log::warn!("event=link_accept_failed error=\"{error}\"");
-                    Timer::after(ACCEPT_RETRY).await;
+                    Timer::after(ACCEPT_RETRY_DELAY).await;
                 }
             }
         }
@@ -395,12 +401,12 @@
 }
 
 async fn dial(context: Arc<RelayContext>, identity: Rc<RefCell<Identity>>, address: SocketAddr) {
-    let own = identity.borrow().clone();
-    match crate::links::dial(address, &own).await {
+    let own_identity = identity.borrow().clone();
+    match crate::links::dial(address, &own_identity).await {
         Ok(link) => run_link(&context, link, true).await,
         Err(error) => {
             log::debug!("event=link_failed {error}");
-            if context.control.send(RelayEvent::DialFailed(address)).await.is_err() {
+            if context.control_events.send(RelayControlEvent::DialFailed(address)).await.is_err() {
                 log::debug!("event=control_stopped");
             }
         }
@@ -409,24 +415,25 @@
 
 /// Runs an open link until it ends.
 async fn run_link(context: &RelayContext, link: Link, dialed: bool) {
-    let number = context.next_attempt.fetch_add(1, Ordering::Relaxed);
+    let number = context.next_number.fetch_add(1, Ordering::Relaxed);
     let peer = link.peer().clone();
-    let (outgoing, outgoing_queue) = async_channel::bounded(LINK_QUEUE);
+    let (outgoing, outgoing_queue) = async_channel::bounded(MAX_QUEUED_MESSAGES);
     let (incoming, incoming_queue) = async_channel::bounded(1);
-    let events = &context.control;
-    let opened = RelayEvent::LinkOpened { link: number, peer, dialed, outgoing };
+    let events = &context.control_events;
+    let opened = RelayControlEvent::LinkOpened { link: number, peer, dialed, outgoing };
     if events.send(opened).await.is_err() {
         return;
     }
     let forward = async {
         while let Ok(message) = incoming_queue.recv().await {
-            if events.send(RelayEvent::LinkReceived { link: number, message }).await.is_err() {
+            if events.send(RelayControlEvent::LinkReceived { link: number, message }).await.is_err()
+            {
                 return;
             }
         }
     };
     let (end, ()) = futures_lite::future::zip(link.run(outgoing_queue, incoming), forward).await;
-    if events.send(RelayEvent::LinkEnded { link: number, end }).await.is_err() {
+    if events.send(RelayControlEvent::LinkEnded { link: number, end }).await.is_err() {
         log::debug!("event=control_stopped");
     }
 }
--- a/src/relay/control/records.rs
+++ b/src/relay/control/records.rs
@@ -1,4 +1,5 @@
-//! Records of operators and servers: from the store and from partners into what traffic uses.
+//! Applies records of operators and servers, from the store and from partners, to the state that
+//! traffic uses.
 
 use super::state::ControlState;
 use crate::adapters::http_server::ListenerLimits;
@@ -13,35 +14,35 @@
 use std::time::Instant;
 use strum::Display;
 
-/// Milliseconds beyond the idle limit for which a connection waits for the next head.
+/// Milliseconds added to the configured timeout of a request head.
 const IDLE_MARGIN_MS: u64 = 1_000;
 
-/// Way by which a record came.
+/// Where a record came from.
 #[derive(Clone, Debug, Display)]
 pub(super) enum RecordSource {
-    /// Listing of the store: it may have been written long ago.
+    /// Listing of the store; the record may be old.
     #[strum(to_string = "listing")]
     Listing,
-    /// The store, as it was written.
+    /// Read from the store soon after it was written.
     #[strum(to_string = "store")]
     Store,
-    /// Whole copy of a partner: it may have been written long ago.
+    /// Full copy from a partner; the record may be old.
     #[strum(to_string = "copy-of-{0}")]
     Copy(InstanceId),
-    /// A partner, as it learned of it.
+    /// Update from a partner soon after it was written.
     #[strum(to_string = "{0}")]
     Partner(InstanceId),
 }
 
 impl RecordSource {
-    /// Whether the age of the record is unknown.
-    fn is_of_unknown_age(&self) -> bool {
+    /// Whether the record may be old.
+    fn is_age_unknown(&self) -> bool {
         matches!(self, Self::Listing | Self::Copy(_))
     }
 }
 
 impl ControlState {
-    /// Takes in a listing of a topic.
+    /// Applies a listing of a topic.
     pub(super) fn apply_listing(
         &mut self,
         topic: RecordTopic,
@@ -53,12 +54,12 @@
             listing.records.len(),
             listing.end
         );
-        let news = self.replica.apply_listing(topic, listing);
-        self.apply_news(&news, &RecordSource::Listing, now);
-        self.note_listed();
+        let updates = self.replica.apply_listing(topic, listing);
+        self.apply_updates(&updates, &RecordSource::Listing, now);
+        self.mark_servers_listed();
     }
 
-    /// Takes in records that follow a known offset.
+    /// Applies records that follow a known offset.
     pub(super) fn apply_records(
         &mut self,
         topic: RecordTopic,
@@ -66,20 +67,25 @@
         next_offset: LogOffset,
         now: Instant,
     ) {
-        let news = self.replica.apply_records(topic, records, next_offset);
-        self.apply_news(&news, &RecordSource::Store, now);
+        let updates = self.replica.apply_records(topic, records, next_offset);
+        self.apply_updates(&updates, &RecordSource::Store, now);
     }
 
-    /// Takes in whether servers were listed.
-    pub(super) fn note_listed(&self) {
+    /// Marks the list of servers as known once the replica has it.
+    pub(super) fn mark_servers_listed(&self) {
         if self.replica.known_below(RecordTopic::Servers).is_some() {
-            self.context.knows_servers.store(true, Ordering::Release);
+            self.context.has_server_list.store(true, Ordering::Release);
         }
     }
 
-    /// Puts newer records in force.
-    pub(super) fn apply_news(&mut self, news: &[KeyedRecord], source: &RecordSource, now: Instant) {
-        for record in news {
+    /// Applies records that are newer than the known ones.
+    pub(super) fn apply_updates(
+        &mut self,
+        updates: &[KeyedRecord],
+        source: &RecordSource,
+        now: Instant,
+    ) {
+        for record in updates {
             match (record.topic, &record.value) {
                 (RecordTopic::Operator, Some(value)) => {
                     self.apply_operator_record(record, value, source, now);
@@ -100,8 +106,8 @@
                 }
             }
         }
-        if !news.is_empty() {
-            self.announce_topics();
+        if !updates.is_empty() {
+            self.schedule_digest();
             let servers = self.context.fleet().servers().count();
             self.context.metrics.servers.set(i64::try_from(servers).unwrap_or(i64::MAX));
         }
@@ -117,17 +123,17 @@
         let KeyedRecord { key, offset, .. } = record;
         match self.context.ports.dialect.read_operator_record(key, value) {
             Ok(OperatorRecord::Configuration(configuration)) => {
-                self.put_in_force(*configuration, *offset, source);
+                self.apply_configuration(*configuration, *offset, source);
             }
             Ok(OperatorRecord::Weights { model, revision }) => {
                 let mut fleet = self.context.fleet();
-                let is_news = if source.is_of_unknown_age() {
+                let is_new_target = if source.is_age_unknown() {
                     fleet.set_target_of_unknown_age(model.clone(), revision, now)
                 } else {
                     fleet.set_target(model.clone(), revision, now)
                 };
                 drop(fleet);
-                if is_news {
+                if is_new_target {
                     log::info!(
                         "event=weights_named model={model} revision={revision} offset={offset} \
                          source={source}"
@@ -142,8 +148,8 @@
         }
     }
 
-    /// Puts a configuration in force unless a newer one is.
-    fn put_in_force(
+    /// Puts a configuration in force unless the current one is as new.
+    fn apply_configuration(
         &mut self,
         configuration: Configuration,
         offset: LogOffset,
@@ -174,7 +180,7 @@
         if let Some(limits) = configuration.limits {
             self.context.caller_limits.store(Arc::new(server_limits(limits)));
         }
-        self.kv_store.set(configuration.kv_stores.first().map(|store| store.address));
+        self.kv_store_address.set(configuration.kv_stores.first().map(|store| store.address));
         self.context
             .metrics
             .configuration_revision
--- a/src/relay/control/rollout/mod.rs
+++ b/src/relay/control/rollout/mod.rs
@@ -1,4 +1,4 @@
-//! Rollouts of weights on the control thread: what is due, and the servers that it concerns.
+//! Weight rollouts on the control thread. The node that holds the rollout lease coordinates them.
 
 mod lease;
 mod notices;
@@ -13,25 +13,29 @@
 use std::collections::BTreeMap;
 use std::time::Instant;
 
-/// Rollouts as one node sees and coordinates them.
+/// State of rollouts at one node.
 pub(super) struct RolloutControl {
     instance: InstanceId,
     lease: RegisterLease,
     rollouts: BTreeMap<ModelId, Rollout>,
-    /// Since when servers have been outdated and nobody was heard to coordinate.
+    /// Since when a rollout has been needed, `None` if none is.
     needed_since: Option<Instant>,
+    /// When a notice of another coordinator last arrived.
     last_notice_at: Option<Instant>,
     last_coordinator: Option<InstanceId>,
+    /// When the notices are next repeated.
     next_notice_at: Instant,
-    /// Number of the next notice.
+    /// Number of the last notice of this node.
     notice_number: u64,
-    heard_notices: ReceivedNotices,
-    register_busy_until: Option<Instant>,
-    next_register_at: Instant,
+    received_notices: ReceivedNotices,
+    /// When the pending call to the lease register times out, `None` if no call is pending.
+    register_call_until: Option<Instant>,
+    /// Earliest time of the next attempt to acquire the lease.
+    next_acquire_at: Instant,
 }
 
 impl RolloutControl {
-    /// Returns the rollouts of a node that has just started.
+    /// Returns the state of a node without rollouts.
     pub(super) fn new(instance: InstanceId, lease_ms: u64) -> Self {
         let now = Instant::now();
         Self {
@@ -43,18 +47,18 @@
             last_coordinator: None,
             next_notice_at: now,
             notice_number: 0,
-            heard_notices: ReceivedNotices::default(),
-            register_busy_until: None,
-            next_register_at: now,
+            received_notices: ReceivedNotices::default(),
+            register_call_until: None,
+            next_acquire_at: now,
         }
     }
 
-    /// Whether this node coordinates or may have to.
+    /// Whether a rollout is needed or under way.
     pub(super) fn is_active(&self) -> bool {
         self.needed_since.is_some() || !self.rollouts.is_empty()
     }
 
-    /// Drops the lease, since its deadline may have passed unnoticed.
+    /// Drops the lease and all rollouts.
     pub(super) fn drop_lease(&mut self) {
         self.lease.drop_lease();
         self.rollouts.clear();
@@ -62,11 +66,11 @@
 }
 
 impl ControlState {
-    /// Does the periodic work of rollouts.
+    /// Starts, advances and ends rollouts, acquiring or renewing the lease as needed.
     pub(super) fn tick_rollouts(&mut self, now: Instant) {
         let models: Vec<ModelId> = self.targets.keys().cloned().collect();
         let outdated: Vec<ModelId> =
-            models.into_iter().filter(|model| self.has_outdated(model)).collect();
+            models.into_iter().filter(|model| self.has_outdated_servers(model)).collect();
         if outdated.is_empty() && self.rollout.rollouts.values().all(|r| r.closed().count() == 0) {
             self.rollout.needed_since = None;
             self.rollout.rollouts.clear();
@@ -75,38 +79,41 @@
         self.rollout.needed_since.get_or_insert(now);
         if self.rollout.lease.fencing_number(now).is_none() {
             self.rollout.rollouts.clear();
-            self.try_lease(now);
+            self.try_acquire_lease(now);
             return;
         }
         if self.rollout.lease.is_renewal_due(now) {
             self.replace_register(now);
         }
         for model in outdated {
-            self.ensure_rollout(&model);
+            self.start_or_retarget(&model);
         }
         let running: Vec<ModelId> = self.rollout.rollouts.keys().cloned().collect();
         for model in running {
             let servers = self.rollout_servers(&model);
             let Some(rollout) = self.rollout.rollouts.get_mut(&model) else { continue };
             let commands = rollout.tick(&servers, now);
-            self.carry_out(&model, commands, now);
+            self.execute(&model, commands, now);
         }
         if now >= self.rollout.next_notice_at {
             self.send_notices(now);
         }
     }
 
-    fn has_outdated(&self, model: &ModelId) -> bool {
+    /// Whether a server has weights older than the target of `model`.
+    fn has_outdated_servers(&self, model: &ModelId) -> bool {
         let Some(target) = self.targets.get(model) else { return false };
         let fleet = self.context.fleet();
-        fleet.servers().any(|server| is_takeable(server) && is_older(server, model, *target))
+        fleet
+            .servers()
+            .any(|server| is_eligible(server) && has_older_weights(server, model, *target))
     }
 
     fn rollout_servers(&self, model: &ModelId) -> Vec<RolloutServer> {
         let now = Instant::now();
         let fleet = self.context.fleet();
         let target = fleet.targets().get(model);
-        let servers = fleet.servers().filter(|server| is_takeable(server));
+        let servers = fleet.servers().filter(|server| is_eligible(server));
         servers
             .filter_map(|server| {
                 let revision = *server.weights.get(model)?;
@@ -120,7 +127,8 @@
             .collect()
     }
 
-    fn ensure_rollout(&mut self, model: &ModelId) {
+    /// Starts a rollout of the target weights of `model`, or sets the target of the running one.
+    fn start_or_retarget(&mut self, model: &ModelId) {
         let Some(target) = self.context.fleet().targets().get(model).cloned() else { return };
         let revision = target.revision();
         match self.rollout.rollouts.get_mut(model) {
@@ -139,13 +147,12 @@
     }
 }
 
-/// Whether a server takes part in rollouts: one that does not answer is brought up to date once it
-/// does.
-fn is_takeable(server: &Server) -> bool {
+/// Whether a server takes part in rollouts. One that does not answer is updated once it does.
+fn is_eligible(server: &Server) -> bool {
     let is_suspended = server.suspended_until(Instant::now()).is_some();
     server.entry.state == ServerState::Ready && !server.is_entry_missing() && !is_suspended
 }
 
-fn is_older(server: &Server, model: &ModelId, revision: WeightsRevision) -> bool {
-    server.weights.get(model).is_some_and(|held| *held < revision)
+fn has_older_weights(server: &Server, model: &ModelId, revision: WeightsRevision) -> bool {
+    server.weights.get(model).is_some_and(|loaded| *loaded < revision)
 }
--- a/src/relay/mod.rs
+++ b/src/relay/mod.rs
@@ -1,11 +1,11 @@
-//! The relay: passes requests of configured routes on to backend servers, unchanged, and their
-//! answers back.
+//! Relay node: forwards the requests of configured routes to backend servers, and the answers to
+//! the callers, both unchanged.
 //!
-//! Traffic runs on one thread and never waits for control. The control thread follows the records of
-//! the site's store, exchanges them with partners, and carries out rollouts of weights.
+//! One thread runs all traffic and never waits for the control thread, which follows the records of
+//! the site's store, exchanges records and loads with partners, and coordinates weight rollouts.
 
-pub mod answer;
 pub mod attempt;
+pub mod buffered_answer;
 pub mod context;
 pub mod control;
 pub mod exchange;
@@ -16,7 +16,7 @@
 pub mod run;
 pub mod settings;
 pub mod stream;
-pub mod suspend_clock;
+pub mod suspension_detector;
 
 pub use context::{RelayContext, RelayPorts};
 pub use node::RelayNode;
--- a/src/relay/node.rs
+++ b/src/relay/node.rs
@@ -1,6 +1,6 @@
-//! Assembles a relay node and runs it on threads of its own.
+//! Starts and stops a relay node, which runs on threads of its own.
 
-use super::control::{self, ControlParts, RelayEvent};
+use super::control::{self, ControlParts, RelayControlEvent};
 use super::exchange;
 use super::metrics::RelayMetrics;
 use super::{RelayContext, RelayPorts, RelaySettings};
@@ -27,40 +27,41 @@
 use std::thread::{self, JoinHandle};
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// Events that may wait for the control thread.
-const CONTROL_QUEUE: usize = 1_024;
+/// Maximum events that wait for the control thread.
+const MAX_QUEUED_EVENTS: usize = 1_024;
 
-/// Limits of the callers' listener until a configuration names some.
-const FIRST_LIMITS: ListenerLimits =
+/// Limits of the callers' listener until a configuration sets others.
+const DEFAULT_CALLER_LIMITS: ListenerLimits =
     ListenerLimits { head_bytes: 16 * 1024, head_timeout_ms: 16_000 };
 
-/// Limits of the listeners for operators' tools.
-const TOOL_LIMITS: ListenerLimits =
+/// Limits of the readiness and metrics listeners.
+const MONITORING_LIMITS: ListenerLimits =
     ListenerLimits { head_bytes: 8 * 1024, head_timeout_ms: 60_000 };
 
-/// Period in which a stopping node looks whether its connections have ended.
-const STOP_CHECK_PERIOD: Duration = Duration::from_millis(50);
+/// Period at which a stopping node checks whether its connections have ended.
+const DRAIN_POLL_PERIOD: Duration = Duration::from_millis(50);
 
-/// Running relay node.
+/// A running relay node.
 pub struct RelayNode {
     context: Arc<RelayContext>,
     caller_address: SocketAddr,
     readiness_address: SocketAddr,
     partner_address: SocketAddr,
-    /// Closes when connections are to end after their requests.
+    /// Closing it ends the listener, and each caller connection after its current request. They
+    /// hold the receivers, so the number of receivers is that of the open connections.
     drain: Sender<Infallible>,
-    /// Closes when the threads are to stop.
+    /// Closing it stops the threads.
     stop: Sender<Infallible>,
     threads: Vec<JoinHandle<()>>,
     executor: Arc<Executor<'static>>,
 }
 
 impl RelayNode {
-    /// Starts a node; `ports` gets the pool of connections and returns the node's ports.
+    /// Starts a node; `ports` creates its adapters, which share the connection pool.
     ///
     /// # Errors
     ///
-    /// A listener that cannot be bound or a thread that cannot be started.
+    /// A listener that cannot be bound, or a thread that cannot be started.
     pub fn start(
         settings: RelaySettings,
         metrics: RelayMetrics,
@@ -76,9 +77,9 @@
         let partner_address = partners.local_addr()?;
         let caller_address = callers.local_addr()?;
         let readiness_address = readiness.local_addr()?;
-        let instance = instance_id(&settings);
-        let (control, events) = async_channel::bounded(CONTROL_QUEUE);
-        let context = Arc::new(new_context(settings, metrics, ports, pool, control));
+        let instance = new_instance_id(&settings);
+        let (control_events, events) = async_channel::bounded(MAX_QUEUED_EVENTS);
+        let context = Arc::new(new_context(settings, metrics, ports, pool, control_events));
         let (drain, draining) = async_channel::bounded(1);
         let (stop, stopped) = async_channel::bounded(1);
         let control_parts = ControlParts {
@@ -90,11 +91,11 @@
         };
         let control_thread = spawn_control(
             String::from("control"),
-            move |executor| control::start(executor, control_parts),
+            move |executor| control::run_control(executor, control_parts),
             stopped.clone(),
         )?;
         serve_callers(&executor, &context, callers, draining);
-        serve_tools(&executor, &context, readiness, metrics_listener, stopped.clone());
+        serve_monitoring(&executor, &context, readiness, metrics_listener, stopped.clone());
         let traffic_thread =
             spawn_traffic(String::from("traffic"), Arc::clone(&executor), stopped)?;
         log::info!(
@@ -124,29 +125,30 @@
         self.readiness_address
     }
 
-    /// Returns the address of the partner listener.
+    /// Returns the address of the listener for partner links.
     pub fn partner_address(&self) -> SocketAddr {
         self.partner_address
     }
 
-    /// Stops gracefully: readiness goes first, then the listener, then the running requests end.
+    /// Stops gracefully: reports not ready, stops accepting connections `accept_ms` later, and
+    /// waits for running requests until `limit_ms`.
     pub fn drain(self) {
         let limits = self.context.settings.stop;
         let started_at = Instant::now();
         log::info!("event=drain_started");
         self.context.is_stopping.store(true, Ordering::Release);
-        self.context.tell_control(RelayEvent::Stop);
+        self.context.notify_control(RelayControlEvent::NodeStopping);
         thread::sleep(Duration::from_millis(limits.accept_ms));
         self.drain.close();
         let deadline = started_at + Duration::from_millis(limits.limit_ms);
         while self.drain.receiver_count() > 0 && Instant::now() < deadline {
-            thread::sleep(STOP_CHECK_PERIOD);
+            thread::sleep(DRAIN_POLL_PERIOD);
         }
         log::info!("event=stopped cut={}", self.drain.receiver_count());
         self.kill();
     }
 
-    /// Stops abruptly: all connections close at once.
+    /// Stops at once and closes all connections.
     pub fn kill(self) {
         self.stop.close();
         let Self { threads, executor, .. } = self;
@@ -155,7 +157,7 @@
     }
 }
 
-fn instance_id(settings: &RelaySettings) -> InstanceId {
+fn new_instance_id(settings: &RelaySettings) -> InstanceId {
     let started = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
     format_smolstr!("{}-{:x}", settings.instance_name, started.as_millis())
 }
@@ -165,20 +167,20 @@
     metrics: RelayMetrics,
     ports: RelayPorts,
     pool: Arc<ConnectionPool>,
-    control: Sender<RelayEvent>,
+    control_events: Sender<RelayControlEvent>,
 ) -> RelayContext {
     RelayContext {
         configuration: ArcSwapOption::empty(),
-        caller_limits: Arc::new(ArcSwap::from_pointee(FIRST_LIMITS)),
+        caller_limits: Arc::new(ArcSwap::from_pointee(DEFAULT_CALLER_LIMITS)),
         pool,
         metrics,
-        control,
+        control_events,
         is_stopping: AtomicBool::new(false),
-        knows_servers: AtomicBool::new(false),
+        has_server_list: AtomicBool::new(false),
         fleet: Mutex::new(Fleet::new(settings.availability_zone.clone())),
-        budget: Mutex::new(ResendBudget::new(settings.resend, 1)),
+        resend_budget: Mutex::new(ResendBudget::new(settings.resend, 1)),
         poison: Mutex::new(PoisonState::default()),
-        next_attempt: AtomicU64::new(1),
+        next_number: AtomicU64::new(1),
         settings,
         ports,
     }
@@ -198,14 +200,14 @@
     executor.spawn(server).detach();
 }
 
-fn serve_tools(
+fn serve_monitoring(
     executor: &Arc<Executor<'static>>,
     context: &Arc<RelayContext>,
     readiness: TcpListener,
     metrics: TcpListener,
     stopped: Receiver<Infallible>,
 ) {
-    let limits = Arc::new(ArcSwap::from_pointee(TOOL_LIMITS));
+    let limits = Arc::new(ArcSwap::from_pointee(MONITORING_LIMITS));
     let shared = Arc::clone(context);
     let answer_readiness: Handler = Arc::new(move |request| {
         let reply = readiness_reply(&shared, &request);
--- a/src/relay/request.rs
+++ b/src/relay/request.rs
@@ -1,4 +1,4 @@
-//! A caller's request: checked, authenticated, and read whole.
+//! Receives requests: matches the route, authenticates the caller and reads the body.
 
 use super::RelayContext;
 use super::refusal::{Refusal, RefusalReason};
@@ -17,11 +17,11 @@
 use std::time::{Duration, Instant};
 use xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed};
 
-/// Body limit while a configuration names none.
-const DEFAULT_BODY_BYTES: usize = 4 * 1024 * 1024;
+/// Maximum body size if the configuration sets none.
+const DEFAULT_MAX_BODY_BYTES: usize = 4 * 1024 * 1024;
 
-/// Headers that concern one connection alone.
-const CONNECTION_HEADERS: [HeaderName; 9] = [
+/// Headers that apply to a single connection and are not forwarded.
+const HOP_BY_HOP_HEADERS: [HeaderName; 9] = [
     header::CONNECTION,
     header::TE,
     header::TRAILER,
@@ -33,44 +33,46 @@
     HeaderName::from_static("proxy-connection"),
 ];
 
-/// Request that was read whole and may be sent.
+/// Complete request, ready to be sent to a server.
 pub struct RelayedRequest {
-    /// Id that the caller chose.
+    /// Id chosen by the caller.
     pub id: RequestId,
-    /// Route.
+    /// Matching route.
     pub route: Arc<Route>,
-    /// Service that serves it.
+    /// Service of the route that gets the request.
     pub service: ServiceId,
-    /// Workspace of the caller.
+    /// Workspace of the caller, `None` if it is anonymous.
     pub workspace: Option<Arc<Workspace>>,
-    /// Whether the caller's key must not reach the server.
+    /// Whether the caller's API key must not reach the server.
     pub hides_key: bool,
-    /// What the head says.
+    /// Contents of the request head.
     pub facts: RequestHead,
     /// Method.
     pub method: Method,
     /// Path and query.
     pub uri: Uri,
-    /// Headers but for those of the connection.
+    /// End-to-end headers.
     pub headers: HeaderMap,
     /// Body.
     pub body: Bytes,
-    /// When the head had arrived.
+    /// When the head arrived.
     pub arrived_at: Instant,
-    /// When it must have its answer.
+    /// When the answer must be complete.
     pub deadline: Instant,
-    /// Fingerprint, which is the same if it is sent again.
+    /// Hash of workspace, path and body, which is the same when the caller retries.
     pub fingerprint: Fingerprint,
 }
 
 impl RelayedRequest {
-    /// Returns the priority with which servers are to take it, 0 is the highest.
+    /// Returns the priority at the servers; 0 is the highest.
     pub fn priority(&self) -> u8 {
-        let own = self.workspace.as_ref().and_then(|workspace| workspace.priority);
-        self.admission(false, self.arrived_at).server_priority(own.unwrap_or(self.route.priority))
+        let workspace_priority = self.workspace.as_ref().and_then(|workspace| workspace.priority);
+        self.admission(false, self.arrived_at)
+            .server_priority(workspace_priority.unwrap_or(self.route.priority))
     }
 
-    /// Returns what decides its admission at `now`; `has_run` tells whether a server ran it in part.
+    /// Returns the facts that decide admission at `now`; `has_started` says whether a server has
+    /// run part of the request.
     pub fn admission(&self, has_started: bool, now: Instant) -> AdmissionRequest {
         let remaining = self.deadline.saturating_duration_since(now);
         AdmissionRequest {
@@ -81,8 +83,8 @@
         }
     }
 
-    /// Returns what decides the choice of a server.
-    pub fn wanted<'a>(&'a self, tried: &'a [ServerId]) -> ServerQuery<'a> {
+    /// Returns the query that selects a server other than those in `tried`.
+    pub fn server_query<'a>(&'a self, tried: &'a [ServerId]) -> ServerQuery<'a> {
         let isolated = self.workspace.as_ref().filter(|workspace| workspace.is_isolated);
         ServerQuery {
             service: &self.service,
@@ -93,14 +95,14 @@
         }
     }
 
-    /// Returns the milliseconds since the head arrived.
+    /// Returns the milliseconds since the request arrived.
     pub fn age_ms(&self) -> u128 {
         self.arrived_at.elapsed().as_millis()
     }
 }
 
-/// Checks a request and reads its body.
-pub async fn admit(
+/// Matches the route, authenticates the caller, reads the body and checks for poison requests.
+pub async fn receive(
     context: &RelayContext,
     request: Request<Incoming>,
     facts: RequestHead,
@@ -108,7 +110,7 @@
 ) -> Result<RelayedRequest, Refusal> {
     let configuration = context.configuration.load_full();
     let Some(configuration) =
-        configuration.filter(|_| context.knows_servers.load(Ordering::Acquire))
+        configuration.filter(|_| context.has_server_list.load(Ordering::Acquire))
     else {
         return Err(Refusal::unconfigured(arrived_at));
     };
@@ -118,11 +120,11 @@
         .service(xxh3_64(id.as_bytes()))
         .cloned()
         .ok_or(Refusal::new(RefusalReason::NoRoute))?;
-    let patience_ms = facts.timeout_ms.unwrap_or(route.timeout_ms).min(route.timeout_ms);
-    let deadline = arrived_at + Duration::from_millis(patience_ms);
-    let limit_bytes = configuration.limits.map_or(DEFAULT_BODY_BYTES, |limits| limits.body_bytes);
+    let timeout_ms = facts.timeout_ms.unwrap_or(route.timeout_ms).min(route.timeout_ms);
+    let deadline = arrived_at + Duration::from_millis(timeout_ms);
+    let max_bytes = configuration.limits.map_or(DEFAULT_MAX_BODY_BYTES, |limits| limits.body_bytes);
     let (parts, body) = request.into_parts();
-    let body = read_body(body, limit_bytes, deadline).await?;
+    let body = read_body(body, max_bytes, deadline).await?;
     let uri = parts.uri.path_and_query().map_or(parts.uri.clone(), |path| path.clone().into());
     let fingerprint = fingerprint(workspace.as_deref(), &uri, &body);
     check_poison(context, fingerprint)?;
@@ -164,7 +166,7 @@
 
 async fn read_body(
     mut body: Incoming,
-    limit_bytes: usize,
+    max_bytes: usize,
     deadline: Instant,
 ) -> Result<Bytes, Refusal> {
     let mut whole = BytesMut::new();
@@ -179,7 +181,7 @@
             Ok(Some(Ok(frame))) => frame,
         };
         let Ok(data) = frame.into_data() else { continue };
-        if whole.len() + data.len() > limit_bytes {
+        if whole.len() + data.len() > max_bytes {
             return Err(Refusal::new(RefusalReason::BodyTooLarge));
         }
         whole.extend_from_slice(&data);
@@ -200,16 +202,16 @@
     }
 }
 
-/// Drops the headers that concern one connection alone.
+/// Removes the headers that apply to a single connection, including those that `Connection` lists.
 pub fn end_to_end_headers(mut headers: HeaderMap) -> HeaderMap {
-    let named: Vec<HeaderName> = headers
+    let connection_headers: Vec<HeaderName> = headers
         .get_all(header::CONNECTION)
         .iter()
         .filter_map(|value| value.to_str().ok())
         .flat_map(|value| value.split(','))
         .filter_map(|name| name.trim().parse().ok())
         .collect();
-    for name in CONNECTION_HEADERS.iter().chain(&named) {
+    for name in HOP_BY_HOP_HEADERS.iter().chain(&connection_headers) {
         headers.remove(name);
     }
     headers
