--- a/examples/support/fleet.rs
+++ b/examples/support/fleet.rs
@@ -56,8 +56,8 @@
         fleet.apply(RoutingEvent::Document(Arc::new(document(size.servers))));
         fleet.apply(RoutingEvent::LiveNodes(NODES));
         for number in 0..size.servers {
-            let (id, asked_at) = (server(number), fleet.now);
-            fleet.apply(RoutingEvent::Load { server: id, report: report(number), asked_at });
+            let (id, requested_at) = (server(number), fleet.now);
+            fleet.apply(RoutingEvent::Load { server: id, report: report(number), requested_at });
         }
         for number in (0..size.prefixes).step_by(LEVELS) {
             for holder in 0..HOLDERS {
@@ -101,7 +101,7 @@
             key: ((number + level) as u64).wrapping_mul(0x9e37_79b9_7f4a_7c15),
             bytes: 8_000 * (level as u32 + 1),
             tokens: 2_000 * (level as u32 + 1),
-            anchor: level == 1,
+            is_anchor: level == 1,
         })
         .collect()
 }
--- a/src/decision/routing/messages.rs
+++ b/src/decision/routing/messages.rs
@@ -19,7 +19,7 @@
     /// Estimated tokens up to the end of the level.
     pub tokens: u32,
     /// Whether this level's key chooses the homes of the request; true for one level of a prompt.
-    pub anchor: bool,
+    pub is_anchor: bool,
 }
 
 /// Event that changes the routing state.
@@ -36,7 +36,7 @@
         /// Load report.
         report: LoadReport,
         /// When the report was requested.
-        asked_at: Instant,
+        requested_at: Instant,
     },
     /// A page of a server's cache events was received.
     CacheEvents {
--- a/src/decision/routing/prefix.rs
+++ b/src/decision/routing/prefix.rs
@@ -122,7 +122,7 @@
             key: self.key,
             bytes: u32::try_from(self.bytes).unwrap_or(u32::MAX),
             tokens: u32::try_from(self.bytes.div_ceil(BYTES_PER_TOKEN)).unwrap_or(u32::MAX),
-            anchor: false,
+            is_anchor: false,
         });
         self.kinds.push(kind);
     }
@@ -140,7 +140,7 @@
     fn into_levels(mut self) -> Vec<PrefixLevel> {
         let anchor = self.anchor_index();
         if let Some(level) = self.levels.get_mut(anchor) {
-            level.anchor = true;
+            level.is_anchor = true;
         }
         self.levels
     }
--- a/src/decision/routing/score.rs
+++ b/src/decision/routing/score.rs
@@ -51,7 +51,7 @@
             IndexedLevel { level: *level, entry }
         };
         let levels: Vec<IndexedLevel<'a>> = levels.iter().map(indexed).collect();
-        let anchor = levels.iter().position(|indexed| indexed.level.anchor).unwrap_or(0);
+        let anchor = levels.iter().position(|indexed| indexed.level.is_anchor).unwrap_or(0);
         let stored = stored_level(&levels, now);
         Self { levels, anchor, stored }
     }
@@ -176,7 +176,7 @@
     /// Expected queue wait by reports and request counts, in seconds.
     pub wait_s: f64,
     /// Whether an import from the KV store is faster than the recompute.
-    pub imports: bool,
+    pub uses_import: bool,
 }
 
 /// Inputs to the scores of one decision that all servers share.
@@ -210,8 +210,8 @@
         let recompute_s = (prompt_tokens - hit.tokens) / self.model.prefill_tokens_per_s;
         let with_import_s =
             prompt.stored.map(|stored| self.import_s(stored, hit.tokens, prompt_tokens));
-        let imports = with_import_s.is_some_and(|import_s| import_s < recompute_s);
-        let prefill_s = with_import_s.filter(|_| imports).unwrap_or(recompute_s);
+        let uses_import = with_import_s.is_some_and(|import_s| import_s < recompute_s);
+        let prefill_s = with_import_s.filter(|_| uses_import).unwrap_or(recompute_s);
         let link_s = 2.0 * info.link_delay.as_secs_f64();
         let wait_s = self.wait_s(server, info, load);
         let excess_s = server.excess_wait.seconds(self.config.excess_wait_decay_time, self.now);
@@ -225,7 +225,7 @@
                 * prefill_s
             + self.weights.zone_link * link_s
             + utilisation * self.config.utilisation_cost_s;
-        Score { cost_s, hit, load, wait_s, imports }
+        Score { cost_s, hit, load, wait_s, uses_import }
     }
 
     /// Returns the expected queue wait in seconds, without the learnt excess wait.
--- a/src/decision/routing/view.rs
+++ b/src/decision/routing/view.rs
@@ -206,7 +206,7 @@
             expected_hit_tokens: best.score.hit.tokens as u32,
             queued_requests: best.score.load.requests as u32,
             reason: best.reason(),
-            import_keys: if best.score.imports { prompt.import_keys() } else { Vec::new() },
+            import_keys: if best.score.uses_import { prompt.import_keys() } else { Vec::new() },
             expectation: Expectation {
                 wait_ms: (best.score.wait_s * 1_000.0) as u32,
                 cached_level: prompt.cached_level(best.server.index, best.server.state),
@@ -288,7 +288,7 @@
     }
 
     fn reason(&self) -> RouteReason {
-        if self.score.imports {
+        if self.score.uses_import {
             RouteReason::Import
         } else if self.score.hit.is_likely_cached {
             RouteReason::CachedPrefix
--- a/tests/routing/homes.rs
+++ b/tests/routing/homes.rs
@@ -89,7 +89,7 @@
     node.apply(RoutingEvent::LiveNodes(8));
     let levels = levels("survey", "1", "hot manual ", "q");
     let first = node.route("first", &levels).server;
-    let anchor = levels.iter().find(|level| level.anchor).unwrap().key;
+    let anchor = levels.iter().find(|level| level.is_anchor).unwrap().key;
     for _ in 0..200 {
         node.advance(Duration::from_millis(50));
         node.sent(&first, &levels);
--- a/tests/routing/prefix.rs
+++ b/tests/routing/prefix.rs
@@ -17,8 +17,8 @@
 
 fn table(levels: &[PrefixLevel]) -> String {
     levels.iter().fold(String::new(), |mut table, level| {
-        let PrefixLevel { bytes, tokens, anchor, .. } = level;
-        writeln!(table, "bytes={bytes} tokens={tokens} anchor={anchor}").unwrap();
+        let PrefixLevel { bytes, tokens, is_anchor, .. } = level;
+        writeln!(table, "bytes={bytes} tokens={tokens} anchor={is_anchor}").unwrap();
         table
     })
 }
@@ -98,7 +98,7 @@
         let levels = body_levels(&body);
         prop_assert!(levels.len() <= 32);
         prop_assert!(levels.windows(2).all(|pair| pair[0].bytes <= pair[1].bytes));
-        let anchors = levels.iter().filter(|level| level.anchor).count();
+        let anchors = levels.iter().filter(|level| level.is_anchor).count();
         prop_assert_eq!(anchors, usize::from(!levels.is_empty()));
         let bytes: usize = match prompt {
             Some(size) => size,
