--- a/src/decision/relay/choose.rs
+++ b/src/decision/relay/choose.rs
@@ -22,19 +22,19 @@
 /// Milliseconds for which a plain call occupies a slot, used as the cost of a queue.
 const PLAIN_CALL_MS: f64 = 60.0;
 
-/// Requests per slot beyond which plain servers reject some.
+/// Requests per slot from which a plain server gets no more: beyond that it rejects some.
 const MAX_PLAIN_REQUESTS_PER_SLOT: u32 = 4;
 
-/// Time after which a server with outdated weights gets no more requests.
+/// Time after newer weights were announced from which a server with older ones gets no requests.
 pub(super) const MAX_OUTDATED_WEIGHTS_PERIOD: Duration = Duration::from_millis(6_000);
 
-/// Retry delay of a caller if no server can take its request.
+/// Retry delay of a caller if the service has no ready server, or none with usable weights.
 const NO_SERVER_RETRY_DELAY: Duration = Duration::from_millis(700);
 
 /// Server chosen for a request.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Choice {
-    /// Chosen server.
+    /// Id of the server.
     pub server: ServerId,
     /// Address of the server.
     pub address: SocketAddr,
@@ -55,15 +55,15 @@
 /// Cache use and weights of a prompt at the chosen server.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct PromptChoice {
-    /// Weights that the server is believed to have loaded.
+    /// Revision of the weights that the server is believed to have loaded.
     pub weights: WeightsRevision,
     /// Salt of the cache keys.
     pub cache_salt: SmolStr,
     /// Keys of the shared prefixes, shortest first.
     pub keys: Vec<PrefixKey>,
-    /// Server or store to fetch the prefix from.
+    /// Server or store to fetch the prefix from, `None` if the server prefills all that it lacks.
     pub fetch_from: Option<SocketAddr>,
-    /// Store to save the prefix to.
+    /// Store to save the prefix to, `None` if it is not saved.
     pub save_to: Option<SocketAddr>,
     /// Seconds of the store's link that the fetch takes.
     pub fetch_s: f64,
@@ -90,20 +90,20 @@
 /// Error of a choice without a usable server.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Unavailable {
-    /// Reason.
+    /// Why no server can take the request.
     pub reason: UnavailableReason,
-    /// When to retry.
+    /// When a server may be available again.
     pub retry_at: Instant,
 }
 
-/// Request for a server.
+/// Query for the server of a request.
 #[derive(Clone, Copy, Debug)]
 pub struct ServerQuery<'a> {
     /// Service that the request is for.
     pub service: &'a ServiceId,
     /// Prompt, `None` for a plain call.
     pub prompt: Option<&'a Prompt>,
-    /// Workspace with cache isolation that the request belongs to, `None` for others.
+    /// Workspace of the request if it has cache isolation, `None` otherwise.
     pub isolated_workspace: Option<&'a str>,
     /// Priority, 0 is the highest.
     pub priority: u8,
@@ -146,6 +146,7 @@
         }
     }
 
+    /// Whether the server has weights of `model` that are current or were current recently.
     fn has_usable_weights(&self, server: &Server, model: &ModelId, now: Instant) -> bool {
         let Some(revision) = server.weights.get(model) else { return false };
         let since = self.targets.get(model).and_then(|target| target.outdated_since(*revision));
@@ -190,7 +191,7 @@
 /// Server with its cost in milliseconds.
 pub(super) type CostedServer<'a> = (f64, &'a Server);
 
-/// Builds the choice of `best`.
+/// Builds the choice of `best`, whose answer is expected to begin after `expected_ms`.
 pub(super) fn build_choice(
     best: CostedServer<'_>,
     expected_ms: f64,
--- a/src/decision/relay/configuration.rs
+++ b/src/decision/relay/configuration.rs
@@ -36,7 +36,7 @@
 /// Service with its share of a route's requests.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct RouteTarget {
-    /// Service.
+    /// Service that gets the requests.
     pub service: ServiceId,
     /// Share of the requests, relative to the weights of the other targets.
     pub weight: u32,
@@ -108,9 +108,9 @@
 /// External store of KV cache.
 #[derive(Clone, Debug, PartialEq)]
 pub struct KvCacheStore {
-    /// Address.
+    /// Address of the store.
     pub address: SocketAddr,
-    /// Availability zone.
+    /// Availability zone of the store.
     pub availability_zone: AvailabilityZone,
     /// Bandwidth of its link in megabits per second.
     pub link_mbit_per_s: f64,
@@ -145,13 +145,15 @@
 pub struct Configuration {
     /// Revision; higher is newer.
     pub revision: u64,
+    /// Routes by host, those with the longest path prefix first.
     routes: HashMap<SmolStr, Vec<Arc<Route>>>,
     /// Services by name.
     pub services: BTreeMap<ServiceId, Service>,
     /// External stores of KV cache.
     pub kv_stores: Vec<KvCacheStore>,
-    /// Limits on callers.
+    /// Limits on callers, `None` to keep those in force.
     pub limits: Option<CallerLimits>,
+    /// Workspaces by caller key.
     keys: HashMap<SmolStr, Arc<Workspace>>,
     has_workspaces: bool,
 }
--- a/src/decision/relay/decode_rate.rs
+++ b/src/decision/relay/decode_rate.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
-/// Time over which this node's rate is averaged.
+/// Time constant of the exponential average of this node's rate.
 const AVERAGING_WINDOW: Duration = Duration::from_secs(3);
 
 /// Time after which a partner's rate expires.
--- a/src/decision/relay/engine_choice.rs
+++ b/src/decision/relay/engine_choice.rs
@@ -28,7 +28,8 @@
 /// it takes: wasted work.
 const RECOMPUTE_COST_MS_PER_1K_TOKENS: f64 = 100.0;
 
-/// Cost by rendezvous rank; the last entry is that of all further ranks.
+/// Cost of a server by its rendezvous rank for the prefix, 0 for the home server; the last entry is
+/// that of all further ranks.
 const RANK_COST_MS: [f64; 4] = [0.0, 20.0, 30.0, 40.0];
 
 /// Fraction of an engine's KV cache that requests may fill before cached prefixes get evicted.
@@ -52,9 +53,10 @@
 /// Milliseconds in which a server of the decode pool generates one token of each request.
 const DECODE_POOL_MS_PER_TOKEN: f64 = 8.0;
 
-/// Decode-heavy requests per server of the decode pool before the pool grows, as a number and as a
-/// fraction of its slots.
+/// Decode-heavy requests per server of the decode pool before the pool grows.
 const MAX_DECODE_HEAVY_PER_SERVER: f64 = 28.0;
+
+/// Fraction of a server's slots that decode-heavy requests may take before the decode pool grows.
 const MAX_DECODE_HEAVY_SLOT_FRACTION: f64 = 0.85;
 
 /// Number of slots from which memory and speed limit a server before its slots do. With fewer slots
@@ -77,6 +79,7 @@
 const NEXT_ROUND_COST_MS: f64 = 400.0;
 
 impl Fleet {
+    /// Returns the cheapest of the `candidates`, of which there is at least one.
     pub(super) fn choose_engine(
         &self,
         candidates: &[&Server],
@@ -259,9 +262,9 @@
             .zip(tokens)
             .enumerate()
             .filter(|(_, (key, size))| is_long(**size) && self.prefixes.needs_save(**key, now));
-        let Some((level, _)) = unsaved.next() else { return };
+        let Some((index, _)) = unsaved.next() else { return };
         let save_s = store.transfer_s(prompt.prompt_tokens);
-        let is_first = level == 0 && keys.len() > 1;
+        let is_first = index == 0 && keys.len() > 1;
         if is_first || store.may_save(save_s, now) {
             choice.save_to = Some(store.address());
             choice.save_s = save_s;
@@ -285,6 +288,7 @@
         cost_ms + self.zone_cost_ms(server) + server.health.cost_ms(now)
     }
 
+    /// Returns the penalty for weights that are older than the announced ones.
     fn outdated_weights_cost_ms(
         &self,
         prompt: &Prompt,
@@ -301,6 +305,7 @@
         }
     }
 
+    /// Returns the penalty for full slots and for a KV cache that the request would fill too far.
     fn capacity_cost_ms(&self, server: &Server, load: ServerLoad, prompt: &Prompt) -> f64 {
         let slots = server.entry.slots.max(1);
         let mut cost_ms = if slots >= MANY_SLOTS {
@@ -362,9 +367,11 @@
 /// What a server would prefill, fetch and save of a prompt.
 #[derive(Default)]
 struct PromptPlan {
+    /// Tokens that the server would prefill.
     prefill_tokens: u32,
     /// Tokens among them that another server has prefilled recently.
     recomputed_tokens: u32,
+    /// Tokens that the server would fetch from another server or the store.
     fetched_tokens: u32,
     choice: PromptChoice,
 }
@@ -382,6 +389,7 @@
     }
 }
 
+/// Returns the penalty for mixing decode-heavy requests with others.
 fn pool_cost_ms(prompt: &Prompt, is_in_pool: bool) -> f64 {
     match (prompt.is_decode_heavy(), is_in_pool) {
         (true, false) => DECODE_OUTSIDE_POOL_COST_MS,
--- a/src/decision/relay/event_splitter.rs
+++ b/src/decision/relay/event_splitter.rs
@@ -14,6 +14,7 @@
 /// Splitter of one event stream.
 #[derive(Clone, Debug, Default)]
 pub struct EventSplitter {
+    /// Bytes received after the last complete event.
     partial: BytesMut,
     last_event_id: Option<SmolStr>,
 }
@@ -43,13 +44,13 @@
         self.partial.split().freeze()
     }
 
-    /// Returns the id of the last complete event.
+    /// Returns the last id among the complete events, `None` if none had one.
     pub fn last_event_id(&self) -> Option<&SmolStr> {
         self.last_event_id.as_ref()
     }
 }
 
-/// Returns the offset after the last blank line.
+/// Returns the offset after the last blank line, which ends an event.
 fn last_event_end(bytes: &[u8]) -> Option<usize> {
     (1..=bytes.len()).rev().find(|&end| {
         let head = &bytes[..end];
@@ -57,6 +58,7 @@
     })
 }
 
+/// Returns the value of the last `id` field.
 fn last_id(events: &[u8]) -> Option<SmolStr> {
     let lines = events.split(|byte| *byte == b'\n').rev();
     let values = lines.filter_map(|line| line.strip_prefix(b"id:"));
--- a/src/decision/relay/fleet.rs
+++ b/src/decision/relay/fleet.rs
@@ -55,13 +55,16 @@
 pub struct Fleet {
     pub(super) availability_zone: AvailabilityZone,
     pub(super) servers: BTreeMap<ServerId, Server>,
+    /// Announced weights by model.
     pub(super) targets: BTreeMap<ModelId, WeightsTarget>,
+    /// Tokens that the KV cache of one engine holds, by service.
     pub(super) kv_capacity_tokens: BTreeMap<ServiceId, u64>,
     /// Recently prefilled prefixes and where they are cached or stored.
     pub prefixes: PrefixIndex,
     /// Output token rate of decode-heavy requests.
     pub decode_rate: DecodeRate,
-    /// Link to the external store of KV cache, `None` while the store does not answer.
+    /// Link to the external store of KV cache, `None` without a store or while it
+    /// does not answer.
     pub kv_store: Option<StoreLink>,
 }
 
@@ -111,7 +114,7 @@
         expired
     }
 
-    /// Sets the KV cache capacity of a service's engines.
+    /// Sets how many tokens the KV cache of each of a service's engines holds.
     pub fn set_kv_capacity(&mut self, service: ServiceId, tokens: u64) {
         self.kv_capacity_tokens.insert(service, tokens);
     }
@@ -138,7 +141,7 @@
         self.targets.entry(model).or_default().add(revision, announced_at)
     }
 
-    /// Returns the weights that the servers should load.
+    /// Returns the weights that the servers should load, by model.
     pub fn targets(&self) -> &BTreeMap<ModelId, WeightsTarget> {
         &self.targets
     }
--- a/src/decision/relay/health.rs
+++ b/src/decision/relay/health.rs
@@ -64,23 +64,26 @@
 #[derive(Clone, Copy, Debug, Display, Eq, PartialEq)]
 #[strum(serialize_all = "snake_case")]
 pub enum SilenceChange {
-    /// Has unanswered requests and no recent contact.
+    /// The server has unanswered requests and no recent contact.
     Silent,
-    /// Has been in contact again.
+    /// The server was in contact again after it had been silent.
     Heard,
 }
 
-/// Health of a server.
+/// Health of a server, as one node estimates it.
 #[derive(Clone, Debug, Default)]
 pub struct Health {
+    /// End of the suspension after the server was unreachable.
     suspended_until: Option<Instant>,
     /// Suspensions since the last success.
     suspensions: u32,
     /// Moving average of failures, from 0 to 1.
     failure_rate: f64,
-    /// Moving average of the time beyond the expectation.
+    /// Moving average of the milliseconds by which answers exceeded the expectation.
     slowness_ms: f64,
+    /// Time up to which the averages have decayed.
     updated_at: Option<Instant>,
+    /// When the server last sent this node anything.
     last_contact_at: Option<Instant>,
     /// Unanswered attempts with the times at which they were sent.
     unanswered: BTreeMap<u64, Instant>,
@@ -146,8 +149,8 @@
         combined.silence(now) > MAX_SILENCE || local.silence(now) > MAX_LOCAL_SILENCE
     }
 
-    /// Updates whether the server is silent and returns the change; a silent server has the failure
-    /// rate 1 until the next contact.
+    /// Updates whether the server is silent and returns the change. Each update of a silent server
+    /// sets its failure rate to 1; the first later contact sets the rate to 0.
     pub fn update_silence(&mut self, others: ServerContact, now: Instant) -> Option<SilenceChange> {
         let last_contact_at = self.last_contact_at.max(others.last_contact_at);
         if self.is_silent(others, now) {
--- a/src/decision/relay/load_exchange.rs
+++ b/src/decision/relay/load_exchange.rs
@@ -77,6 +77,7 @@
     /// Whether loads are forwarded along a tree of nodes.
     is_tree: bool,
     neighbours: BTreeMap<InstanceId, Neighbour>,
+    /// When the next round of load messages is due.
     next_round_at: Instant,
 }
 
@@ -187,6 +188,8 @@
         Ok(changes)
     }
 
+    /// Returns the load to send to `peer`: in a tree that of this node and the other neighbours,
+    /// otherwise that of this node alone.
     fn load_without(&self, peer: &InstanceId, fleet: &Fleet, now: Instant) -> RelayLoad {
         if !self.is_tree {
             let long_tokens_per_s = fleet.decode_rate.local_tokens_per_s(now).round() as u32;
@@ -205,6 +208,7 @@
         RelayLoad { nodes, servers, long_tokens_per_s, ..RelayLoad::default() }
     }
 
+    /// Queues prefixes for all neighbours except `source`, which sent them.
     fn queue_prefixes(
         &mut self,
         source: Option<&InstanceId>,
--- a/src/decision/relay/prefix_index.rs
+++ b/src/decision/relay/prefix_index.rs
@@ -25,7 +25,9 @@
 /// What is known of one prefix.
 #[derive(Clone, Debug, Default)]
 struct PrefixRecord {
+    /// Until when the prefix counts as stored.
     stored_until: Option<Instant>,
+    /// Until when a save that was asked for is not repeated.
     saving_until: Option<Instant>,
     last_use: Option<LastUse>,
 }
--- a/src/decision/relay/prompt.rs
+++ b/src/decision/relay/prompt.rs
@@ -19,20 +19,20 @@
 pub struct PromptPart {
     /// Id; parts with the same id have the same text.
     pub id: SmolStr,
-    /// Number of tokens.
+    /// Tokens of the part.
     pub tokens: u32,
 }
 
 /// Prompt of a request.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Prompt {
-    /// Model.
+    /// Requested model.
     pub model: ModelId,
     /// Tokens of the whole prompt.
     pub prompt_tokens: u32,
     /// Maximum output tokens.
     pub max_output_tokens: u32,
-    /// Output tokens that the caller expects.
+    /// Output tokens that the caller expects, `None` without an estimate.
     pub output_estimate_tokens: Option<u32>,
     /// Parts in order; all but the last may be shared with other requests.
     pub parts: Vec<PromptPart>,
@@ -77,7 +77,7 @@
         self.shared_parts().iter().map(|part| part.tokens)
     }
 
-    /// Returns the key of the part that belongs to this request alone.
+    /// Returns the key of the part that belongs to this request alone, 0 without parts.
     pub fn unshared_key(&self) -> PrefixKey {
         self.parts.last().map_or(0, |part| xxh3_64_with_seed(part.id.as_bytes(), 0))
     }
--- a/src/decision/relay/read_schedule.rs
+++ b/src/decision/relay/read_schedule.rs
@@ -29,7 +29,7 @@
 /// read reaches the others meanwhile.
 const STALE_READ_STAGGER: Duration = Duration::from_millis(60);
 
-/// Maximum steps by which a node delays its read.
+/// Maximum number of staggered steps by which a node delays its read.
 const MAX_STAGGER_STEPS: usize = 8;
 
 /// Time after a failed read during which a node does not act as a follower.
@@ -40,7 +40,7 @@
 pub enum NextRead {
     /// Read now with a long poll.
     Read {
-        /// End of the long poll.
+        /// Until when the store may hold the answer back for new records.
         wait_until: Instant,
     },
     /// Read nothing before this time.
@@ -54,7 +54,9 @@
     rank: usize,
     /// Last time at which this node's view of the topic was complete.
     confirmed_at: Option<Instant>,
+    /// When the store last answered a read of this node.
     answered_at: Option<Instant>,
+    /// When a read of this node failed, `None` after a later answer.
     failed_at: Option<Instant>,
 }
 
--- a/src/decision/relay/received_notices.rs
+++ b/src/decision/relay/received_notices.rs
@@ -24,6 +24,7 @@
 /// Notices received so far.
 #[derive(Clone, Debug, Default)]
 pub struct ReceivedNotices {
+    /// Remembered notices in the order of their arrival.
     received: VecDeque<NoticeId>,
     /// Newest notice that is no longer remembered.
     newest_evicted: Option<NoticeId>,
--- a/src/decision/relay/register_lease.rs
+++ b/src/decision/relay/register_lease.rs
@@ -34,6 +34,7 @@
 #[derive(Clone, Copy, Debug)]
 struct HeldLease {
     number: FencingNumber,
+    /// When this node must stop acting as the holder.
     deadline: Instant,
 }
 
@@ -97,7 +98,7 @@
         self.held.filter(|held| now < held.deadline).map(|held| held.number)
     }
 
-    /// Whether less than half of the held lease's time is left.
+    /// Whether at most half of the held lease's period is left.
     pub fn is_renewal_due(&self, now: Instant) -> bool {
         let half = Duration::from_millis(self.lease_ms / 2);
         self.held.is_some_and(|held| now + half >= held.deadline)
--- a/src/decision/relay/replica.rs
+++ b/src/decision/relay/replica.rs
@@ -34,7 +34,7 @@
     Servers,
 }
 
-/// Record of a key.
+/// Newest value of a key, or its deletion.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct KeyedRecord {
     /// Topic.
@@ -73,7 +73,7 @@
     pub from: Option<LogOffset>,
     /// Offset below which the sender knows the newest record of every key.
     pub known_below: LogOffset,
-    /// Records.
+    /// Newest record of each key from that offset.
     pub records: Vec<KeyedRecord>,
 }
 
@@ -151,7 +151,8 @@
         self.topics.get(&topic).and_then(|topic| topic.known_below)
     }
 
-    /// Returns the records that a partner lacks if it knows all records below `from`.
+    /// Returns the records that a partner lacks if it knows all records below `from`, or all
+    /// records without `from`; `None` before the first listing.
     pub fn delta(&self, topic: RecordTopic, from: Option<LogOffset>) -> Option<TopicDelta> {
         let known_below = self.known_below(topic)?;
         let known = self.topics.get(&topic)?;
--- a/src/decision/relay/resend.rs
+++ b/src/decision/relay/resend.rs
@@ -1,5 +1,5 @@
-//! Resend budget of a node: its share of the site's allowance. Nodes divide the allowance without
-//! exchanging messages.
+//! Resend budget of a node: its share of the site's allowance. Each node derives its share from the
+//! number of nodes, without exchanging messages.
 
 use crate::types::ServiceId;
 use serde::{Deserialize, Serialize};
--- a/src/decision/relay/rollout.rs
+++ b/src/decision/relay/rollout.rs
@@ -19,7 +19,7 @@
     accepted_orders: u64,
     /// When the server should have loaded the weights, `None` if only its report shows that.
     loaded_at: Option<Instant>,
-    /// Time from which a report would show the new weights.
+    /// Time from which a report that lacks the new weights is believed, since reports lag.
     settled_at: Instant,
     /// Whether the server was reopened because it should have loaded the weights.
     is_open: bool,
@@ -35,7 +35,7 @@
     Reporting { timeout_at: Instant, failures: u32 },
     /// Order sent.
     Ordering { timeout_at: Instant, accepted_orders: u64 },
-    /// Loading the weights; its report is requested at `report_at`.
+    /// Loading the weights, or unclear whether it is; its report is requested at `report_at`.
     Loading { report_at: Instant, change: WeightsChange },
     /// Report requested to confirm the new weights.
     Confirming { timeout_at: Instant, change: WeightsChange },
@@ -63,7 +63,9 @@
     settings: RolloutSettings,
     model: ModelId,
     revision: WeightsRevision,
+    /// Servers that are being updated or skipped.
     steps: BTreeMap<ServerId, Step>,
+    /// Conditions of each server's last order.
     orders: BTreeMap<ServerId, OrderConditions>,
 }
 
@@ -245,6 +247,7 @@
         self.begin_order(id, report, now)
     }
 
+    /// Whether the report shows the new weights and no running order.
     fn has_loaded(&self, report: &WeightsReport) -> bool {
         let loaded = report.weights.get(&self.model).copied().unwrap_or_default();
         loaded >= self.revision && !report.is_busy
@@ -293,7 +296,8 @@
         }
     }
 
-    /// Orders drained servers, as many as may load at once.
+    /// Orders servers that have drained or whose drain timeout has passed, as many as may load at
+    /// once.
     fn order_drained_servers(
         &mut self,
         servers: &[RolloutServer],
@@ -373,11 +377,13 @@
         }
     }
 
+    /// Returns how many servers may load at once.
     fn max_loading(&self, servers: &[RolloutServer]) -> usize {
         let share = (servers.len() as f64 * self.settings.loading_fraction) as usize;
         share.max(self.settings.min_loading)
     }
 
+    /// Requests the report of a server once more, or skips the server for a while.
     fn fail_report(&mut self, id: &ServerId, failures: u32, now: Instant) -> Vec<RolloutCommand> {
         if failures + 1 >= MAX_REPORT_FAILURES {
             return vec![self.abandon(id, now)];
@@ -388,6 +394,7 @@
         vec![RolloutCommand::Report(id.clone())]
     }
 
+    /// Skips a server for a while.
     fn abandon(&mut self, id: &ServerId, now: Instant) -> RolloutCommand {
         let until = now + Duration::from_millis(self.settings.retry_delay_ms);
         self.steps.insert(id.clone(), Step::BackingOff { until });
--- a/src/decision/relay/rollout_messages.rs
+++ b/src/decision/relay/rollout_messages.rs
@@ -12,11 +12,12 @@
     pub loading_fraction: f64,
     /// Maximum fraction of the servers that are closed at once, including those that load.
     pub closed_fraction: f64,
-    /// Servers that may load at once even if the fraction allows fewer.
+    /// Servers that may load at once even if `loading_fraction` allows fewer; twice as many may be
+    /// closed, up to half of all.
     pub min_loading: usize,
     /// Milliseconds that a server takes to load weights while few others load.
     pub load_ms: u64,
-    /// Milliseconds by which a server's report lags.
+    /// Milliseconds by which a server's report lags behind its state.
     pub report_lag_ms: u64,
     /// Milliseconds between the notice that closes a server and its order, for the notice to reach
     /// all nodes.
@@ -74,11 +75,11 @@
 /// State of one of the model's servers.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct RolloutServer {
-    /// Id.
+    /// Id of the server.
     pub id: ServerId,
-    /// Weights that it is believed to have loaded.
+    /// Revision of the weights that it is believed to have loaded.
     pub revision: WeightsRevision,
-    /// Number of requests at the server.
+    /// Requests of all nodes that have not ended.
     pub requests: u32,
     /// Since when its weights have been outdated, `None` if they are not.
     pub outdated_since: Option<Instant>,
@@ -87,7 +88,7 @@
 /// Report of a server about its weights.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct WeightsReport {
-    /// Weights loaded for each model.
+    /// Revision of the loaded weights of each model.
     pub weights: BTreeMap<ModelId, WeightsRevision>,
     /// Whether the server is carrying out an order.
     pub is_busy: bool,
@@ -124,7 +125,7 @@
     Report(ServerId),
     /// Order the server to load the weights.
     Order {
-        /// Server.
+        /// Server to order.
         server: ServerId,
         /// Expected number of orders that the server has accepted; another number makes it reject
         /// the order.
@@ -134,9 +135,9 @@
     },
     /// Reopen the server on all nodes: it has loaded the weights.
     Finish {
-        /// Server.
+        /// Server to reopen.
         server: ServerId,
-        /// Weights that it has loaded.
+        /// Revision of the weights that it has loaded.
         revision: WeightsRevision,
     },
     /// Reopen the server, which does not answer; the rollout tries it again later.
--- a/src/decision/relay/server.rs
+++ b/src/decision/relay/server.rs
@@ -38,21 +38,21 @@
 /// Entry that a server publishes about itself.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct ServerEntry {
-    /// Id.
+    /// Id of the server.
     pub id: ServerId,
-    /// Service.
+    /// Service that the server belongs to.
     pub service: ServiceId,
-    /// Address.
+    /// Address that takes requests.
     pub address: SocketAddr,
-    /// Availability zone.
+    /// Availability zone of the server.
     pub availability_zone: AvailabilityZone,
     /// Requests that it runs at once.
     pub slots: u32,
-    /// State.
+    /// Whether the server accepts requests.
     pub state: ServerState,
     /// Start by the server's own clock, as a Unix time in milliseconds; distinguishes incarnations.
     pub started_unix_ms: Option<u64>,
-    /// Loaded weights.
+    /// Revision of the loaded weights of each model.
     pub weights: BTreeMap<ModelId, WeightsRevision>,
 }
 
@@ -143,9 +143,9 @@
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(from = "PackedNews", into = "PackedNews")]
 pub struct ServerUpdate {
-    /// Server.
+    /// Id of the server.
     pub server: ServerId,
-    /// Load of the server.
+    /// Requests at the server.
     pub load: ServerLoad,
     /// Milliseconds since the last contact, `None` if there was none.
     pub heard_ms: Option<u32>,
@@ -153,7 +153,8 @@
     pub awaited_ms: Option<u32>,
 }
 
-/// Wire form of a [`ServerUpdate`], without field names.
+/// Wire form of a [`ServerUpdate`], without field names: server, load, milliseconds since the last
+/// contact, milliseconds for which the oldest unanswered request has waited.
 type PackedNews = (ServerId, ServerLoad, Option<u32>, Option<u32>);
 
 impl From<PackedNews> for ServerUpdate {
@@ -178,7 +179,7 @@
     }
 }
 
-/// Last update from a partner.
+/// Last update of a server from a partner.
 #[derive(Clone, Copy, Debug)]
 struct PartnerUpdate {
     load: ServerLoad,
@@ -186,14 +187,14 @@
     expires_at: Instant,
 }
 
-/// Backend server.
+/// State of a backend server at this node.
 #[derive(Clone, Debug)]
 pub struct Server {
     /// Newest entry of the server.
     pub entry: ServerEntry,
     /// Newest known weights, from entries, answers and partners.
     pub weights: BTreeMap<ModelId, WeightsRevision>,
-    /// Health.
+    /// Health as this node estimates it.
     pub health: Health,
     /// Load of this node's requests.
     pub local_load: ServerLoad,
@@ -202,11 +203,15 @@
     partner_updates: BTreeMap<InstanceId, PartnerUpdate>,
     /// Prompt tokens of this node's recent requests, with exponential decay.
     recent_prompt_tokens: f64,
+    /// Time up to which `recent_prompt_tokens` has decayed.
     recent_updated_at: Option<Instant>,
     /// When the server expires because its entry is missing, `None` while it has an entry.
     expires_at: Option<Instant>,
+    /// End of the closure by a rollout.
     closed_until: Option<Instant>,
+    /// Until when resumable streams must leave the server.
     evicted_until: Option<Instant>,
+    /// End of the closure after the server rejected a request as full.
     full_until: Option<Instant>,
 }
 
@@ -229,7 +234,8 @@
         }
     }
 
-    /// Applies a newer entry; a new incarnation of the server loses the earlier state.
+    /// Applies a newer entry; a new incarnation of the server starts open to requests, with the
+    /// weights of its entry and without a health history.
     pub fn update(&mut self, entry: ServerEntry) {
         let is_same_incarnation = self.entry.started_unix_ms == entry.started_unix_ms
             && self.entry.address == entry.address;
--- a/src/decision/relay/store_link.rs
+++ b/src/decision/relay/store_link.rs
@@ -22,8 +22,11 @@
 pub struct StoreLink {
     store: KvCacheStore,
     kv_token_bytes: u64,
+    /// Seconds of link time that this node may use for fetches.
     fetch_budget_s: TokenBucket,
+    /// Seconds of link time that this node may use for saves.
     save_budget_s: TokenBucket,
+    /// Nodes that share the link.
     nodes: u32,
 }
 
--- a/tests/relay/admission.rs
+++ b/tests/relay/admission.rs
@@ -53,7 +53,7 @@
 
 /// Returns the fraction of requests that begin within the objective at one server with 130% load
 /// for 20 s.
-fn on_time_share(admits: bool) -> f64 {
+fn on_time_fraction(admits: bool) -> f64 {
     let start = Instant::now();
     let mut free_at = 0_u64;
     let mut arrivals: VecDeque<(u64, u64)> =
@@ -83,7 +83,7 @@
 
 #[test]
 fn admission_keeps_most_answers_on_time_under_overload() {
-    let (with, without) = (on_time_share(true), on_time_share(false));
+    let (with, without) = (on_time_fraction(true), on_time_fraction(false));
     assert!(without < 0.1, "{without}");
     assert!(with > 0.45, "{with}");
 }
--- a/tests/relay/choose.rs
+++ b/tests/relay/choose.rs
@@ -140,7 +140,7 @@
     assert_eq!(choose(&fleet, &prompt, now + ms(2_000)).server, "s1");
 }
 
-/// All nodes restart and learn of newer weights, but not since when these exist.
+/// All nodes restart and learn of newer weights, but not since when these have been announced.
 #[test]
 fn weights_of_unknown_age_shorten_the_use_of_outdated_ones() {
     let now = Instant::now() + ms(10_000);
@@ -353,7 +353,7 @@
     assert!(choice.cost_ms < 400.0, "{choice:?}");
 }
 
-/// A server is unresponsive, and only a partner has requests there.
+/// A server is unresponsive, and only a partner has sent it requests.
 #[test]
 fn servers_that_partners_find_silent_get_no_requests() {
     let now = Instant::now();
--- a/tests/relay/loads.rs
+++ b/tests/relay/loads.rs
@@ -103,7 +103,8 @@
         Self { now, nodes: places(&members(nodes)).into_iter().map(start).collect() }
     }
 
-    /// Lets every node send to its neighbours once; returns the number of messages.
+    /// Sends one message from every node to each neighbour that lacks its load; returns the number
+    /// of messages.
     fn round(&mut self) -> usize {
         self.now += ms(100);
         let mut sent = Vec::new();
@@ -165,7 +166,7 @@
     assert!(site.nodes.values().all(|(_, fleet)| fleet.prefixes.is_stored(77, site.now)));
 }
 
-/// Requests about a subject come through many nodes, each of which gets one.
+/// Requests with the same prefix come through many nodes, each of which gets one.
 #[test]
 fn every_node_learns_which_server_cached_a_prefix() {
     let mut site = Site::new(68);
--- a/tests/relay/notices.rs
+++ b/tests/relay/notices.rs
@@ -31,19 +31,19 @@
     assert!((0..1_000).all(|number| received.record(4, number) == NoticeOrder::Duplicate));
 }
 
-/// Nodes that forward every new notice along cycles.
+/// Nodes forward every new notice along cycles; forwarding must end once all nodes have it.
 #[test]
 fn forwarded_notices_die_out() {
     let mut nodes = vec![ReceivedNotices::default(); 20];
-    let mut passed_on = 0_usize;
-    let mut under_way: VecDeque<(usize, u64)> = (0..300).map(|number| (0, number)).collect();
-    while let Some((node, number)) = under_way.pop_front() {
+    let mut forwarded = 0_usize;
+    let mut pending: VecDeque<(usize, u64)> = (0..300).map(|number| (0, number)).collect();
+    while let Some((node, number)) = pending.pop_front() {
         if nodes[node].record(1, number) == NoticeOrder::Duplicate {
             continue;
         }
-        passed_on += 1;
-        assert!(passed_on <= 300 * 20, "notices are forwarded without end");
-        under_way.push_back(((node + 1) % 20, number));
-        under_way.push_back(((node + 7) % 20, number));
+        forwarded += 1;
+        assert!(forwarded <= 300 * 20, "notices are forwarded without end");
+        pending.push_back(((node + 1) % 20, number));
+        pending.push_back(((node + 7) % 20, number));
     }
 }
--- a/tests/relay/prefix_index.rs
+++ b/tests/relay/prefix_index.rs
@@ -47,8 +47,8 @@
     assert!(stored <= 16_384, "{stored}");
 }
 
-/// After a change of weights all prefixes are recomputed, and every request wants to save and fetch
-/// at once; the store transfers one prefix after another and delays the rest.
+/// After a change of weights all prefixes are recomputed, and all requests save and fetch prefixes
+/// at once; the store transfers one after another and delays the rest.
 #[test]
 fn nodes_together_stay_within_the_link_capacity() {
     let store = KvCacheStore {
--- a/tests/relay/read_schedule.rs
+++ b/tests/relay/read_schedule.rs
@@ -9,7 +9,7 @@
 const TOPICS: [RecordTopic; 2] = [RecordTopic::Operator, RecordTopic::Servers];
 const TOPIC: RecordTopic = RecordTopic::Servers;
 
-/// Time within which each record must be known.
+/// Time within which every node must know each record, as promised to operators.
 const IN_FORCE_WITHIN: Duration = Duration::from_secs(3);
 
 fn ids(nodes: usize) -> Vec<SmolStr> {
--- a/tests/relay/replica.rs
+++ b/tests/relay/replica.rs
@@ -63,18 +63,18 @@
             .enumerate()
             .map(|(offset, (key, deleted))| record(offset as u64, key, deleted))
             .collect();
-        let upto = |percent: usize| log.len() * percent / 100;
+        let prefix_len = |percent: usize| log.len() * percent / 100;
         let (mut local, mut partner) = (Replica::default(), Replica::default());
         for step in steps {
             match step {
                 // A listing may be older than an earlier read.
                 Step::List(percent) => {
-                    local.apply_listing(TOPIC, listing(&log[..upto(percent)]));
+                    local.apply_listing(TOPIC, listing(&log[..prefix_len(percent)]));
                 }
                 Step::Read(percent) => {
                     if let Some(known_below) = local.known_below(TOPIC) {
                         let from = known_below as usize;
-                        let to = upto(percent).max(from);
+                        let to = prefix_len(percent).max(from);
                         local.apply_records(TOPIC, log[from..to].to_vec(), to as u64);
                     }
                 }
