--- a/src/decision/admission/fair_queue.rs
+++ b/src/decision/admission/fair_queue.rs
@@ -31,7 +31,9 @@
 #[derive(Clone, Debug, Default)]
 pub struct FairQueue {
     queues: BTreeMap<Priority, WorkspaceQueues>,
+    /// Virtual time up to which each workspace has been charged, in tokens.
     finish_tags: BTreeMap<WorkspaceId, u64>,
+    /// Highest start tag of a request that has started, in tokens.
     virtual_time: u64,
 }
 
@@ -98,6 +100,8 @@
         self.queues.values().all(BTreeMap::is_empty)
     }
 
+    /// Returns the highest priority with a workspace that may start, and the workspace with the
+    /// lowest start tag there.
     fn next_queue(
         &self,
         may_start: impl Fn(&WorkspaceId) -> bool,
--- a/src/decision/admission/state.rs
+++ b/src/decision/admission/state.rs
@@ -28,14 +28,18 @@
     mean_service_time_s: f64,
 }
 
+/// This node's share of a workspace's limits.
 #[derive(Clone, Debug)]
 struct WorkspaceLimits {
+    /// Limit on the requests per second.
     requests: TokenBucket,
+    /// Limit on the prompt and output tokens per second.
     tokens: TokenBucket,
     running: usize,
     max_running: usize,
 }
 
+/// Request that was admitted and has not ended.
 #[derive(Clone, Debug)]
 struct RunningRequest {
     workspace: WorkspaceId,
@@ -166,6 +170,7 @@
         self.queue.len()
     }
 
+    /// Charges the request to its workspace's rate limits, or refuses it without a charge.
     fn consume_rates(&mut self, request: &AdmissionRequest, now: Instant) -> Result<(), Refusal> {
         let refuse = |reason, retry_at| Err(Refusal { reason, retry_at });
         let Some(limits) = self.workspaces.get_mut(&request.workspace) else {
@@ -185,12 +190,15 @@
         Ok(())
     }
 
+    /// Returns how long a new request would wait, by the number of requests ahead of it and the
+    /// mean service time.
     fn expected_wait(&self, request: &AdmissionRequest) -> Duration {
         let requests_ahead = self.queue.requests_ahead(&request.workspace, request.priority) as f64;
         let service_times = (requests_ahead + 1.0) / self.max_running.max(1) as f64;
         Duration::from_secs_f64(service_times * self.mean_service_time_s)
     }
 
+    /// Starts waiters while there are free slots, and returns them.
     fn start_waiters(&mut self, now: Instant) -> Vec<AdmissionId> {
         let mut started = Vec::new();
         while self.has_free_slot() {
--- a/src/decision/admission/token_bucket.rs
+++ b/src/decision/admission/token_bucket.rs
@@ -2,14 +2,17 @@
 
 use std::time::{Duration, Instant};
 
-/// Maximum wait that a bucket reports.
+/// Maximum wait that a bucket reports, also if its rate is 0.
 const MAX_WAIT: Duration = Duration::from_secs(60);
 
 /// Token bucket whose level may go negative.
 #[derive(Clone, Debug, PartialEq)]
 pub struct TokenBucket {
+    /// Units that may be taken now.
     level: f64,
+    /// Units added per second.
     rate_per_s: f64,
+    /// Maximum level.
     burst: f64,
     updated_at: Instant,
 }
--- a/src/decision/poison/mod.rs
+++ b/src/decision/poison/mod.rs
@@ -1,8 +1,8 @@
 //! Detection of poison requests, which crash the servers that run them.
 //!
-//! A request is identified by a fingerprint. Each server that crashed while it ran the request
-//! counts as a strike. A request with one strike is a suspect and runs apart from other requests;
-//! with two strikes every node refuses it, since nodes share their strikes.
+//! A request is identified by a fingerprint of its content. Each server that crashed while it ran
+//! the request counts as a strike. A request with one strike is a suspect and runs apart from other
+//! requests; with two strikes every node refuses it, since nodes share their strikes.
 
 pub mod state;
 
@@ -15,7 +15,7 @@
 /// Fingerprint of a request: a hash of workspace, endpoint and body.
 pub type Fingerprint = u64;
 
-/// Strikes after which a request is refused.
+/// Strikes of different servers after which a request is refused.
 pub const REFUSAL_STRIKES: usize = 2;
 
 /// Crash of a server while it ran a request.
--- a/src/decision/poison/state.rs
+++ b/src/decision/poison/state.rs
@@ -31,7 +31,7 @@
     strikes: HashMap<Fingerprint, Vec<RecordedStrike>>,
 }
 
-/// Immutable view of the strikes, by which traffic threads check requests.
+/// Immutable view of the strikes, with which traffic threads check requests.
 #[derive(Clone, Debug, Default)]
 pub struct PoisonView {
     strikes: HashMap<Fingerprint, Vec<RecordedStrike>>,
--- a/src/decision/retry/budget.rs
+++ b/src/decision/retry/budget.rs
@@ -5,7 +5,7 @@
 /// Retries added to the budget per first attempt.
 const RETRIES_PER_ATTEMPT: f64 = 0.1;
 
-/// Retries added per second without traffic, so that an idle node can retry.
+/// Retries added per second whatever the traffic, so that an idle node can retry.
 const RETRIES_PER_S: f64 = 1.0;
 
 /// Maximum number of available retries.
--- a/src/decision/routing/fleet.rs
+++ b/src/decision/routing/fleet.rs
@@ -18,6 +18,7 @@
 #[derive(Debug, Default)]
 pub struct ServerCounters {
     outstanding_requests: AtomicU32,
+    /// Expected prefill tokens of the requests that await their first token.
     pending_prefill_tokens: AtomicU64,
 }
 
@@ -159,6 +160,7 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Incarnations {
     last_seen: Option<Incarnation>,
+    /// Whether the server has answered since its last failure.
     is_confirmed: bool,
     retired: [Option<Incarnation>; 4],
 }
--- a/src/decision/routing/homes.rs
+++ b/src/decision/routing/homes.rs
@@ -45,6 +45,7 @@
 /// Exponentially decayed count of this node's requests for a prefix, and its number of homes.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct PrefixRate {
+    /// Decayed number of requests at `counted_at`.
     count: f32,
     home_count: u32,
     counted_at: Instant,
--- a/src/decision/routing/load.rs
+++ b/src/decision/routing/load.rs
@@ -16,7 +16,7 @@
 const FLEET_SMOOTHING: f64 = 0.05;
 /// Seconds by which a first token may be late without counting as excess wait.
 const WAIT_TOLERANCE_S: f64 = 0.02;
-/// Fraction of the expected time by which it may be late in addition.
+/// Fraction of the expected time by which a first token may be late in addition.
 const WAIT_TOLERANCE_FRACTION: f64 = 0.1;
 
 /// Routing state of a server.
@@ -52,7 +52,7 @@
     pub next_event: u64,
 }
 
-/// Load report, and this node's requests in progress when it was received.
+/// Load report of a server, and this node's requests in progress there when it was received.
 #[derive(Clone, Debug)]
 pub struct ReportedLoad {
     /// When the report was requested.
@@ -89,6 +89,7 @@
 /// Exponentially decaying excess of the observed over the expected wait.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ExcessWait {
+    /// Excess at `observed_at`, in seconds.
     seconds: f64,
     observed_at: Option<Instant>,
 }
--- a/src/decision/routing/poll.rs
+++ b/src/decision/routing/poll.rs
@@ -61,8 +61,11 @@
 /// Schedule of one kind of poll to one server.
 #[derive(Clone, Copy, Debug)]
 struct PollState {
+    /// Earliest time of the next poll.
     due_at: Instant,
+    /// Until when the last poll may still be answered, none if no poll is pending.
     pending_until: Option<Instant>,
+    /// Bytes charged to the budget for the pending poll.
     charged_bytes: f64,
 }
 
@@ -156,7 +159,8 @@
         polls
     }
 
-    /// Completes a poll that was answered, or failed, after `bytes`.
+    /// Completes a poll that was answered, or failed, after `bytes`; charges these in place of the
+    /// estimate.
     pub fn complete(&mut self, poll: &PollRequest, bytes: usize) {
         let bytes = bytes as f64;
         let state = self.servers.get_mut(&poll.server).map(|server| server.state(poll.kind));
--- a/src/decision/routing/prefix.rs
+++ b/src/decision/routing/prefix.rs
@@ -98,9 +98,12 @@
 
 /// Builder of levels; each key hashes the text of its level, seeded with the key before it.
 struct KeyChain {
+    /// Key of all text appended so far.
     key: u64,
+    /// Bytes appended so far.
     bytes: usize,
     levels: Vec<PrefixLevel>,
+    /// Kind of boundary at the end of each level.
     kinds: Vec<CutKind>,
 }
 
--- a/src/decision/routing/prefix_index.rs
+++ b/src/decision/routing/prefix_index.rs
@@ -67,7 +67,7 @@
     pub rate: PrefixRate,
     /// Last answer of the KV store, none if it was not queried.
     pub stored: Option<StoredTokens>,
-    /// When the entry was last updated.
+    /// When the prefix was last requested, cached or looked up in the KV store.
     pub used_at: Instant,
 }
 
@@ -98,6 +98,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct PrefixIndex {
     entries: PrefixMap,
+    /// Keys of all entries in the order in which they are examined for eviction.
     eviction_queue: VecDeque<u64>,
 }
 
--- a/src/decision/routing/score.rs
+++ b/src/decision/routing/score.rs
@@ -22,6 +22,7 @@
 #[derive(Clone, Debug)]
 pub struct PromptLookup<'a> {
     levels: Vec<IndexedLevel<'a>>,
+    /// Position of the level whose key chooses the homes.
     anchor: usize,
     /// Innermost level in the KV store.
     stored: Option<StoredLevel>,
--- a/src/decision/routing/view.rs
+++ b/src/decision/routing/view.rs
@@ -51,6 +51,7 @@
     pub(super) index: ServerIndex,
     pub(super) state: &'a ServerState,
     pub(super) info: &'a ServerInfo,
+    /// Rank among the servers for the anchor, 0 for the first home; none if it was not ranked.
     home_rank: Option<usize>,
 }
 
@@ -116,7 +117,7 @@
         }
     }
 
-    /// Returns the current incarnation of `server`, none while it is unknown.
+    /// Returns the current incarnation of `server`, none while it is unknown or unconfirmed.
     pub fn incarnation(&self, server: &ServerId) -> Option<Incarnation> {
         self.state(self.fleet.index(server)?)?.incarnations.confirmed()
     }
@@ -282,6 +283,7 @@
 }
 
 impl ScoredServer<'_> {
+    /// Whether this server is preferred to `other`.
     fn is_before(&self, other: &Self) -> bool {
         let by_score = self.score.cost_s.total_cmp(&other.score.cost_s);
         self.tier.cmp(&other.tier).then(by_score).is_lt()
