--- a/src/decision/relay/fleet.rs
+++ b/src/decision/relay/fleet.rs
@@ -63,8 +63,7 @@
     pub prefixes: PrefixIndex,
     /// Output token rate of decode-heavy requests.
     pub decode_rate: DecodeRate,
-    /// Link to the external store of KV cache, `None` without a store or while it
-    /// does not answer.
+    /// Link to the external store of KV cache, `None` without a store or while it does not answer.
     pub kv_store: Option<StoreLink>,
 }
 
--- a/src/decision/relay/rollout.rs
+++ b/src/decision/relay/rollout.rs
@@ -354,8 +354,8 @@
         commands: &mut Vec<RolloutCommand>,
     ) {
         let half = servers.len().div_ceil(2);
-        let share = (servers.len() as f64 * self.settings.closed_fraction) as usize;
-        let max_closed = share.max(2 * self.settings.min_loading).min(half).max(1);
+        let by_fraction = (servers.len() as f64 * self.settings.closed_fraction) as usize;
+        let max_closed = by_fraction.max(2 * self.settings.min_loading).min(half).max(1);
         let busy = self.steps.values().filter(|step| match step {
             Step::Loading { change, .. } | Step::Confirming { change, .. } => {
                 change.loaded_at.is_none_or(|at| now < at)
@@ -379,8 +379,8 @@
 
     /// Returns how many servers may load at once.
     fn max_loading(&self, servers: &[RolloutServer]) -> usize {
-        let share = (servers.len() as f64 * self.settings.loading_fraction) as usize;
-        share.max(self.settings.min_loading)
+        let by_fraction = (servers.len() as f64 * self.settings.loading_fraction) as usize;
+        by_fraction.max(self.settings.min_loading)
     }
 
     /// Requests the report of a server once more, or skips the server for a while.
--- a/src/decision/relay/server.rs
+++ b/src/decision/relay/server.rs
@@ -8,8 +8,9 @@
 use std::time::{Duration, Instant};
 use strum::Display;
 
-/// Time for which a server whose entry is missing still gets requests that no other server can
-/// take: entries that expire during an outage of the server list are back within two seconds.
+/// Time for which a server whose entry went missing without a drain still gets requests that no
+/// other server can take: entries that expire during an outage of the server list are back within
+/// two seconds.
 const MISSING_ENTRY_GRACE: Duration = Duration::from_millis(1_700);
 
 /// Time constant with which this node's recent requests stop indicating unreported ones of other
--- a/src/decision/routing/fleet.rs
+++ b/src/decision/routing/fleet.rs
@@ -166,7 +166,7 @@
 }
 
 impl Incarnations {
-    /// Returns the current incarnation, none while it is unknown or unconfirmed.
+    /// Returns the current incarnation, `None` while it is unknown or unconfirmed.
     pub fn confirmed(&self) -> Option<Incarnation> {
         self.last_seen.filter(|_| self.is_confirmed)
     }
--- a/src/decision/routing/load.rs
+++ b/src/decision/routing/load.rs
@@ -22,7 +22,7 @@
 /// Routing state of a server.
 #[derive(Clone, Debug)]
 pub struct ServerState {
-    /// Settings in the document, none if the server was removed from it.
+    /// Settings in the document, `None` if the server was removed from it.
     pub info: Option<Arc<ServerInfo>>,
     /// Whether the node's list of leaving servers has the server.
     pub is_listed_leaving: bool,
--- a/src/decision/routing/messages.rs
+++ b/src/decision/routing/messages.rs
@@ -97,7 +97,7 @@
     pub prompt_tokens: u32,
     /// Prompt tokens that came from the cache, counted by the engine.
     pub cached_tokens: u32,
-    /// Times of the request, none if several servers produced the answer.
+    /// Times of the request, `None` if several servers produced the answer.
     pub timing: Option<AnswerTiming>,
 }
 
--- a/src/decision/routing/poll.rs
+++ b/src/decision/routing/poll.rs
@@ -63,7 +63,7 @@
 struct PollState {
     /// Earliest time of the next poll.
     due_at: Instant,
-    /// Until when the last poll may still be answered, none if no poll is pending.
+    /// Until when the last poll may still be answered, `None` if no poll is pending.
     pending_until: Option<Instant>,
     /// Bytes charged to the budget for the pending poll.
     charged_bytes: f64,
@@ -173,7 +173,7 @@
         budget.available_bytes += charged_bytes - bytes;
     }
 
-    /// Returns when the next poll may be due, none if no server is in use.
+    /// Returns when the next poll may be due, `None` if no server is in use.
     pub fn next_due_at(&self) -> Option<Instant> {
         self.servers.values().map(|server| server.load.due_at.min(server.events.due_at)).min()
     }
--- a/src/decision/routing/prefix_index.rs
+++ b/src/decision/routing/prefix_index.rs
@@ -65,7 +65,7 @@
     pub holders: Vec<Holder>,
     /// Request rate from this node, and the number of homes derived from it.
     pub rate: PrefixRate,
-    /// Last answer of the KV store, none if it was not queried.
+    /// Last answer of the KV store, `None` if it was not queried.
     pub stored: Option<StoredTokens>,
     /// When the prefix was last requested, cached or looked up in the KV store.
     pub used_at: Instant,
--- a/src/decision/routing/score.rs
+++ b/src/decision/routing/score.rs
@@ -89,7 +89,7 @@
     }
 
     /// Returns the tokens expected from the cache of `server`; `home_rank` is its position in the
-    /// rendezvous order of the anchor, none if it was not ranked.
+    /// rendezvous order of the anchor, `None` if it was not ranked.
     pub fn expected_hit(
         &self,
         index: ServerIndex,
--- a/src/decision/routing/view.rs
+++ b/src/decision/routing/view.rs
@@ -51,7 +51,7 @@
     pub(super) index: ServerIndex,
     pub(super) state: &'a ServerState,
     pub(super) info: &'a ServerInfo,
-    /// Rank among the servers for the anchor, 0 for the first home; none if it was not ranked.
+    /// Rank among the servers for the anchor, 0 for the first home; `None` if it was not ranked.
     home_rank: Option<usize>,
 }
 
@@ -82,7 +82,7 @@
 }
 
 impl RoutingView {
-    /// Chooses a server for `query`, or none if no server is eligible.
+    /// Returns the server chosen for `query`, `None` if no server is eligible.
     pub fn route(&self, query: &RouteQuery, now: Instant) -> Option<RouteDecision> {
         let model = self.models.get(&query.model)?;
         match self.policy {
@@ -117,7 +117,7 @@
         }
     }
 
-    /// Returns the current incarnation of `server`, none while it is unknown or unconfirmed.
+    /// Returns the current incarnation of `server`, `None` while it is unknown or unconfirmed.
     pub fn incarnation(&self, server: &ServerId) -> Option<Incarnation> {
         self.state(self.fleet.index(server)?)?.incarnations.confirmed()
     }
