--- a/src/decision/routing/load.rs
+++ b/src/decision/routing/load.rs
@@ -16,13 +16,13 @@
 const FLEET_SMOOTHING: f64 = 0.05;
 /// Seconds by which a first token may be late without counting as excess wait.
 const WAIT_TOLERANCE_S: f64 = 0.02;
-/// Fraction of the expected time by which it may be late in addition.
+/// Fraction of the expected time by which a first token may be late in addition.
 const WAIT_TOLERANCE_FRACTION: f64 = 0.1;
 
 /// Routing state of a server.
 #[derive(Clone, Debug)]
 pub struct ServerState {
-    /// Settings in the document, none if the server was removed from it.
+    /// Settings in the document, `None` if the server was removed from it.
     pub info: Option<Arc<ServerInfo>>,
     /// Whether the node's list of leaving servers has the server.
     pub is_listed_leaving: bool,
@@ -52,11 +52,11 @@
     pub next_event: u64,
 }
 
-/// Load report, and this node's requests in progress when it was received.
+/// Load report of a server, and this node's requests in progress there when it was received.
 #[derive(Clone, Debug)]
 pub struct ReportedLoad {
     /// When the report was requested.
-    pub asked_at: Instant,
+    pub requested_at: Instant,
     /// Running and waiting requests.
     pub requests: u32,
     /// Waiting requests.
@@ -89,6 +89,7 @@
 /// Exponentially decaying excess of the observed over the expected wait.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ExcessWait {
+    /// Excess at `observed_at`, in seconds.
     seconds: f64,
     observed_at: Option<Instant>,
 }
@@ -176,11 +177,12 @@
     pub fn apply_report(
         &mut self,
         report: &LoadReport,
-        asked_at: Instant,
+        requested_at: Instant,
         config: &RoutingConfig,
         now: Instant,
     ) {
-        let is_stale = self.last_report.as_ref().is_some_and(|last| asked_at < last.asked_at);
+        let is_stale =
+            self.last_report.as_ref().is_some_and(|last| requested_at < last.requested_at);
         if is_stale || !self.observe_incarnation(report.incarnation, now) {
             return;
         }
@@ -189,7 +191,7 @@
         self.backoff_until = None;
         let counters = self.info.as_ref().map(|info| &info.counters);
         self.last_report = Some(ReportedLoad {
-            asked_at,
+            requested_at,
             requests: report.running_requests.saturating_add(report.waiting_requests),
             waiting_requests: report.waiting_requests,
             waiting_prompt_tokens: report.waiting_prompt_tokens,
@@ -253,7 +255,7 @@
                 pending_prefill_tokens: own_tokens * (1.0 + effective_other_nodes),
             };
         };
-        let age_s = now.saturating_duration_since(report.asked_at).as_secs_f64();
+        let age_s = now.saturating_duration_since(report.requested_at).as_secs_f64();
         let weight = (-age_s / config.report_decay_time.as_secs_f64()).exp();
         let reported_own_requests = f64::from(report.own_requests);
         let requests_of_others =
--- a/src/decision/routing/prefix.rs
+++ b/src/decision/routing/prefix.rs
@@ -98,9 +98,12 @@
 
 /// Builder of levels; each key hashes the text of its level, seeded with the key before it.
 struct KeyChain {
+    /// Key of all text appended so far.
     key: u64,
+    /// Bytes appended so far.
     bytes: usize,
     levels: Vec<PrefixLevel>,
+    /// Kind of boundary at the end of each level.
     kinds: Vec<CutKind>,
 }
 
@@ -122,7 +125,7 @@
             key: self.key,
             bytes: u32::try_from(self.bytes).unwrap_or(u32::MAX),
             tokens: u32::try_from(self.bytes.div_ceil(BYTES_PER_TOKEN)).unwrap_or(u32::MAX),
-            anchor: false,
+            is_anchor: false,
         });
         self.kinds.push(kind);
     }
@@ -140,7 +143,7 @@
     fn into_levels(mut self) -> Vec<PrefixLevel> {
         let anchor = self.anchor_index();
         if let Some(level) = self.levels.get_mut(anchor) {
-            level.anchor = true;
+            level.is_anchor = true;
         }
         self.levels
     }
--- a/src/decision/routing/view.rs
+++ b/src/decision/routing/view.rs
@@ -51,6 +51,7 @@
     pub(super) index: ServerIndex,
     pub(super) state: &'a ServerState,
     pub(super) info: &'a ServerInfo,
+    /// Rank among the servers for the anchor, 0 for the first home; `None` if it was not ranked.
     home_rank: Option<usize>,
 }
 
@@ -81,7 +82,7 @@
 }
 
 impl RoutingView {
-    /// Chooses a server for `query`, or none if no server is eligible.
+    /// Returns the server chosen for `query`, `None` if no server is eligible.
     pub fn route(&self, query: &RouteQuery, now: Instant) -> Option<RouteDecision> {
         let model = self.models.get(&query.model)?;
         match self.policy {
@@ -116,7 +117,7 @@
         }
     }
 
-    /// Returns the current incarnation of `server`, none while it is unknown.
+    /// Returns the current incarnation of `server`, `None` while it is unknown or unconfirmed.
     pub fn incarnation(&self, server: &ServerId) -> Option<Incarnation> {
         self.state(self.fleet.index(server)?)?.incarnations.confirmed()
     }
@@ -206,7 +207,7 @@
             expected_hit_tokens: best.score.hit.tokens as u32,
             queued_requests: best.score.load.requests as u32,
             reason: best.reason(),
-            import_keys: if best.score.imports { prompt.import_keys() } else { Vec::new() },
+            import_keys: if best.score.uses_import { prompt.import_keys() } else { Vec::new() },
             expectation: Expectation {
                 wait_ms: (best.score.wait_s * 1_000.0) as u32,
                 cached_level: prompt.cached_level(best.server.index, best.server.state),
@@ -282,13 +283,14 @@
 }
 
 impl ScoredServer<'_> {
+    /// Whether this server is preferred to `other`.
     fn is_before(&self, other: &Self) -> bool {
         let by_score = self.score.cost_s.total_cmp(&other.score.cost_s);
         self.tier.cmp(&other.tier).then(by_score).is_lt()
     }
 
     fn reason(&self) -> RouteReason {
-        if self.score.imports {
+        if self.score.uses_import {
             RouteReason::Import
         } else if self.score.hit.is_likely_cached {
             RouteReason::CachedPrefix
