--- a/examples/capacity_slopes/nodes.rs
+++ b/examples/capacity_slopes/nodes.rs
@@ -135,7 +135,7 @@
         "partner_key": "a key for measurements",
     }))?;
     let node = Node::start(Settings::try_from(raw)?)?;
-    list.put_shown(Instance {
+    list.put_immediately(Instance {
         name: format!("entry-{number}"),
         kind: "entry".into(),
         address: node.partner_address(),
--- a/examples/configuration_in_force.rs
+++ b/examples/configuration_in_force.rs
@@ -102,7 +102,7 @@
         "control": { "log_period_ms": log_period_ms },
     }))?;
     let node = Node::start(Settings::try_from(raw)?)?;
-    list.put_shown(Instance {
+    list.put_immediately(Instance {
         name: node.instance().to_string(),
         kind: String::from("entry"),
         address: node.partner_address(),
--- a/examples/local_site/callers.rs
+++ b/examples/local_site/callers.rs
@@ -66,7 +66,8 @@
     async fn model_call(&self, arrival: &Arrival, call: &ModelCall) {
         let prompt = self.workload.prompt(arrival.workspace, call);
         let model = self.workload.model();
-        let expected = answer::pieces(model, &prompt, call.max_tokens, crate::TOKENS_PER_FRAME);
+        let expected =
+            answer::frame_texts(model, &prompt, call.max_tokens, crate::TOKENS_PER_FRAME);
         let body = self.workload.body(arrival.workspace, call).to_string();
         let mut last_node = None;
         let mut attempts = 0;
--- a/examples/local_site/fault_report.rs
+++ b/examples/local_site/fault_report.rs
@@ -84,7 +84,7 @@
             endings,
             lost: after.iter().filter(|outcome| outcome.ending != Ending::Answered).count(),
             accepted_while_leaving,
-            peak_watts_after_cut: is_cut.then(|| run.site.ledger.peak_watts()),
+            peak_watts_after_cut: is_cut.then(|| run.site.ground_truth.peak_watts()),
             cut_budget_watts: is_cut.then(|| u64::from(faults::cut_budget_watts(&run.site))),
             not_measured: not_measured(injected),
         })
--- a/examples/local_site/faults.rs
+++ b/examples/local_site/faults.rs
@@ -29,7 +29,7 @@
     match fault {
         Fault::EngineCrash => site.engines[0].crash(CRASH_DOWN),
         Fault::EventGaps => {
-            set_engine_faults(site, EngineFaults { event_loss: EVENT_LOSS, ..healthy() });
+            set_engine_faults(site, EngineFaults { event_loss_fraction: EVENT_LOSS, ..healthy() });
         }
         Fault::LoadLag => {
             let faults = EngineFaults { extra_load_lag_ms: EXTRA_LOAD_LAG_MS, ..healthy() };
--- a/examples/local_site/omniscient.rs
+++ b/examples/local_site/omniscient.rs
@@ -125,7 +125,7 @@
                 .sum();
             let is_near = engine.config().availability_zone == zone;
             let delay = if is_near { Duration::ZERO } else { link_delay };
-            let score = (estimate.wait + under_way + 2 * delay).as_secs_f64()
+            let score = (estimate.time_to_first_token + under_way + 2 * delay).as_secs_f64()
                 + self.recomputation_weight * estimate.prefill.as_secs_f64();
             if best.is_none_or(|(least, ..)| score < least) {
                 best = Some((score, index, estimate.prefill, delay));
--- a/examples/local_site/report.rs
+++ b/examples/local_site/report.rs
@@ -4,7 +4,7 @@
 use crate::fault_report::FaultReport;
 use crate::options::{Fault, Options, PolicyChoice};
 use crate::outcome::{CallKind, Ending, KeyedCall, Outcome};
-use coriandertide_standins::ledger::PromptTotals;
+use coriandertide_standins::ground_truth::PromptTotals;
 use serde::Serialize;
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -94,11 +94,11 @@
     pub fn new(run: &Run, policy: PolicyChoice, options: &Options, measured: Measured) -> Self {
         let outcomes = run.outcomes.sorted();
         let keyed = run.outcomes.keyed();
-        let runs = run.site.ledger.runs();
+        let runs = run.site.ground_truth.runs();
         let end = run.workload.end();
         let end_s = end.as_secs_f64().max(0.001);
         let first_tokens = first_tokens(&outcomes, end.mul_f64(WARM_UP_SHARE)..end * 2);
-        let totals = run.site.ledger.prompt_totals();
+        let totals = run.site.ground_truth.prompt_totals();
         let prompt_tokens = (totals.prompt_tokens - measured.warm_up.prompt_tokens).max(1);
         let cached_tokens = totals.cached_tokens - measured.warm_up.cached_tokens;
         let imported_tokens = totals.imported_tokens - measured.warm_up.imported_tokens;
@@ -140,8 +140,8 @@
             unfinished: run.workload.arrivals.len() - outcomes.len(),
             resent: outcomes.iter().filter(|outcome| outcome.attempts > 1).count(),
             error_codes: error_codes(&outcomes),
-            engine_crashes: run.site.ledger.engine_crashes(),
-            peak_watts: run.site.ledger.peak_watts(),
+            engine_crashes: run.site.ground_truth.engine_crashes(),
+            peak_watts: run.site.ground_truth.peak_watts(),
             budget_watts: u64::from(run.site.preset.budget_watts()),
             link_bytes_per_s: measured.link_bytes.map(|bytes| bytes / end_s / options.nodes as f64),
             log_appends_per_s: run.site.log.appends() as f64 / end_s,
--- a/examples/local_site/run.rs
+++ b/examples/local_site/run.rs
@@ -114,11 +114,11 @@
     }
 }
 
-fn spawn_warm_up(run: &Arc<Run>) -> smol::Task<coriandertide_standins::ledger::PromptTotals> {
+fn spawn_warm_up(run: &Arc<Run>) -> smol::Task<coriandertide_standins::ground_truth::PromptTotals> {
     let run = Arc::clone(run);
     EXECUTOR.spawn(async move {
         Timer::at(run.started_at + run.workload.end().mul_f64(WARM_UP_SHARE)).await;
-        run.site.ledger.prompt_totals()
+        run.site.ground_truth.prompt_totals()
     })
 }
 
@@ -143,7 +143,7 @@
         let settled_at = fault_at + SETTLE_TIME;
         thread::sleep(settled_at.saturating_duration_since(Instant::now()));
         if injected.contains(&Fault::PowerCut) {
-            run.site.ledger.reset_peak_watts();
+            run.site.ground_truth.reset_peak_watts();
         }
         if injected.contains(&Fault::ServerLeaving) {
             let server = run.site.engines.first();
@@ -175,7 +175,7 @@
                 of(Ending::NotRun),
                 of(Ending::OutcomeUnknown),
                 of(Ending::Wrong) + of(Ending::Cut),
-                run.site.ledger.drawn_watts(),
+                run.site.ground_truth.drawn_watts(),
             );
         }
         thread::sleep(Duration::from_millis(20));
--- a/examples/local_site/site.rs
+++ b/examples/local_site/site.rs
@@ -12,9 +12,9 @@
 use coriandertide::settings::{ControlSettings, Settings};
 use coriandertide_standins::instance_list::Instance;
 use coriandertide_standins::{
-    EngineConfig, EngineStandIn, InstanceListConfig, InstanceListStandIn, KvStoreConfig,
-    KvStoreStandIn, LogServiceConfig, LogServiceStandIn, PlainServiceConfig, PlainServiceStandIn,
-    ServedModel, SiteLedger, WeightStoreConfig, WeightStoreStandIn, ZoneDelays,
+    EngineConfig, EngineStandIn, GroundTruth, InstanceListConfig, InstanceListStandIn,
+    KvStoreConfig, KvStoreStandIn, LogServiceConfig, LogServiceStandIn, PlainServiceConfig,
+    PlainServiceStandIn, ServedModel, WeightStoreConfig, WeightStoreStandIn, ZoneDelays,
 };
 use smol_str::{SmolStr, ToSmolStr, format_smolstr};
 use std::net::SocketAddr;
@@ -32,7 +32,7 @@
     /// Sizes and rates.
     pub preset: Preset,
     /// True figures.
-    pub ledger: Arc<SiteLedger>,
+    pub ground_truth: Arc<GroundTruth>,
     /// Delays between the zones.
     pub zone_delays: ZoneDelays,
     /// Log service.
@@ -56,7 +56,7 @@
 impl Site {
     /// Starts the stand-ins, publishes the document and starts the nodes.
     pub fn start(preset: Preset, policy: PolicyChoice, options: &Options) -> anyhow::Result<Self> {
-        let ledger = SiteLedger::new();
+        let ground_truth = GroundTruth::new();
         let delay = Duration::from_micros(u64::from(preset.zone_delay_us));
         let zone_delays = ZoneDelays::uniform(preset.zones, delay);
         let weight_store = WeightStoreStandIn::start(WeightStoreConfig::default())?;
@@ -67,7 +67,7 @@
         };
         let engine = EngineConfig {
             models: vec![ServedModel { model: preset.model.into(), weights_version: "1".into() }],
-            running_requests: preset.running_requests as usize,
+            max_running_requests: preset.running_requests as usize,
             cache_blocks: preset.cache_blocks as usize,
             prefill_tokens_per_s: preset.prefill_tokens_per_s,
             decode_tokens_per_s: preset.decode_tokens_per_s,
@@ -76,14 +76,14 @@
             request_watts: REQUEST_WATTS,
             poison_marker: Some(POISON_MARKER.to_owned()),
             zone_delays: zone_delays.clone(),
-            ledger: Arc::clone(&ledger),
-            kv_store: kv_store.as_ref().map(KvStoreStandIn::kept),
+            ground_truth: Arc::clone(&ground_truth),
+            kv_store: kv_store.as_ref().map(KvStoreStandIn::stored_prefixes),
             weight_store: Some(weight_store.transfers()),
             ..EngineConfig::default()
         };
         let site = Self {
             engines: start_engines(&preset, &engine)?,
-            services: start_services(&preset, &ledger)?,
+            services: start_services(&preset, &ground_truth)?,
             log: LogServiceStandIn::start(LogServiceConfig::default())?,
             instance_list: InstanceListStandIn::start(InstanceListConfig::default())?,
             balancer: Balancer::default(),
@@ -94,7 +94,7 @@
             kv_store,
             _weight_store: weight_store,
             preset,
-            ledger,
+            ground_truth,
             zone_delays,
         };
         site.register_servers();
@@ -129,7 +129,7 @@
         };
         let settings = Settings::try_from(settings).context("settings of a node")?;
         let node = Node::start(settings)?;
-        self.instance_list.put_shown(Instance {
+        self.instance_list.put_immediately(Instance {
             name: name.to_string(),
             kind: "entry".to_owned(),
             address: node.partner_address(),
@@ -177,7 +177,7 @@
 
     fn register_servers(&self) {
         for engine in &self.engines {
-            self.instance_list.put_shown(self.server_record(engine, "live"));
+            self.instance_list.put_immediately(self.server_record(engine, "live"));
         }
     }
 }
@@ -204,14 +204,14 @@
 
 fn start_services(
     preset: &Preset,
-    ledger: &Arc<SiteLedger>,
+    ground_truth: &Arc<GroundTruth>,
 ) -> anyhow::Result<Vec<PlainServiceStandIn>> {
     (0..preset.service_servers)
         .map(|number| {
             PlainServiceStandIn::start(PlainServiceConfig {
                 name: format!("{}-{number}", preset.service),
                 latency_ms: 10,
-                ledger: Some(Arc::clone(ledger)),
+                ground_truth: Some(Arc::clone(ground_truth)),
             })
         })
         .collect()
--- a/standins/src/engine/answer.rs
+++ b/standins/src/engine/answer.rs
@@ -10,13 +10,13 @@
 ];
 
 /// Returns the piece of text in frame `number` of the answer to `prompt` by `model`.
-pub fn piece(model: &str, prompt: &str, number: u64) -> String {
+pub fn frame_text(model: &str, prompt: &str, number: u64) -> String {
     let answer = xxh3_64_with_seed(prompt.as_bytes(), xxh3_64(model.as_bytes()));
     word(answer, number)
 }
 
 /// Returns the whole answer, cut into its pieces.
-pub fn pieces(model: &str, prompt: &str, tokens: u32, tokens_per_frame: u32) -> Vec<String> {
+pub fn frame_texts(model: &str, prompt: &str, tokens: u32, tokens_per_frame: u32) -> Vec<String> {
     let answer = xxh3_64_with_seed(prompt.as_bytes(), xxh3_64(model.as_bytes()));
     (0..frames(tokens, tokens_per_frame)).map(|number| word(answer, number)).collect()
 }
--- a/standins/src/engine/cache.rs
+++ b/standins/src/engine/cache.rs
@@ -6,7 +6,7 @@
 
 /// Level of a prompt as named by a request.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct NamedLevel {
+pub struct PrefixLevel {
     /// Key of the prefix.
     pub key: u64,
     /// Whole blocks up to the end of the level.
@@ -49,7 +49,7 @@
     }
 
     /// Stores all `hashes` of a prompt and returns the changes of named levels.
-    pub fn store(&mut self, hashes: &[u64], levels: &[NamedLevel]) -> Vec<LevelChange> {
+    pub fn store(&mut self, hashes: &[u64], levels: &[PrefixLevel]) -> Vec<LevelChange> {
         let mut changes = Vec::new();
         // The last block is used first, so that a prefix loses its end before its start.
         for hash in hashes.iter().rev() {
--- a/standins/src/engine/config.rs
+++ b/standins/src/engine/config.rs
@@ -1,7 +1,7 @@
 //! Settings of a model engine.
 
-use crate::kv_store::KeptPrefixes;
-use crate::ledger::SiteLedger;
+use crate::ground_truth::GroundTruth;
+use crate::kv_store::StoredPrefixes;
 use crate::weight_store::Transfers;
 use crate::zones::ZoneDelays;
 use std::sync::Arc;
@@ -25,9 +25,9 @@
     /// Models loaded at the start.
     pub models: Vec<ServedModel>,
     /// Requests that run at once.
-    pub running_requests: usize,
+    pub max_running_requests: usize,
     /// Requests that may wait; more are refused.
-    pub waiting_requests: usize,
+    pub max_waiting_requests: usize,
     /// Blocks of 16 tokens that the prefix cache holds.
     pub cache_blocks: usize,
     /// Prompt tokens computed a second.
@@ -43,7 +43,7 @@
     /// Milliseconds after which a cache event shows.
     pub event_delay_ms: u64,
     /// Share of cache events that are lost, from 0 to 1.
-    pub event_loss: f64,
+    pub event_loss_fraction: f64,
     /// Whether orders with an old fencing number are refused.
     pub checks_fencing: bool,
     /// Draw without work.
@@ -55,9 +55,9 @@
     /// Delays between availability zones.
     pub zone_delays: ZoneDelays,
     /// Ledger of the site.
-    pub ledger: Arc<SiteLedger>,
+    pub ground_truth: Arc<GroundTruth>,
     /// Store of kept KV cache.
-    pub kv_store: Option<Arc<KeptPrefixes>>,
+    pub kv_store: Option<Arc<StoredPrefixes>>,
     /// Transfers from the weight store; without it models load at once.
     pub weight_store: Option<Arc<Transfers>>,
 }
@@ -71,8 +71,8 @@
                 model: "model".to_owned(),
                 weights_version: "1".to_owned(),
             }],
-            running_requests: 16,
-            waiting_requests: 64,
+            max_running_requests: 16,
+            max_waiting_requests: 64,
             cache_blocks: 4_096,
             prefill_tokens_per_s: 8_000,
             decode_tokens_per_s: 40,
@@ -80,13 +80,13 @@
             tokens_per_frame: 2,
             load_lag_ms: 200,
             event_delay_ms: 200,
-            event_loss: 0.0,
+            event_loss_fraction: 0.0,
             checks_fencing: false,
             idle_watts: 100,
             request_watts: 20,
             poison_marker: None,
             zone_delays: ZoneDelays::default(),
-            ledger: SiteLedger::new(),
+            ground_truth: GroundTruth::new(),
             kv_store: None,
             weight_store: None,
         }
--- a/standins/src/engine/truth.rs
+++ b/standins/src/engine/estimate.rs
@@ -11,7 +11,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct FirstTokenEstimate {
     /// Time until the prefill would end.
-    pub wait: Duration,
+    pub time_to_first_token: Duration,
     /// Time that the prefill would take.
     pub prefill: Duration,
     /// Prompt tokens in the cache.
@@ -24,7 +24,7 @@
         let config = self.config();
         let state = lock(&self.shared.state);
         let served = state.models.loaded.iter().find(|served| served.model == model)?;
-        if !state.is_up || state.batch.waiting_requests() >= config.waiting_requests {
+        if !state.is_up || state.batch.waiting_requests() >= config.max_waiting_requests {
             return None;
         }
         let blocks = prompt::block_hashes(model, &served.weights_version, "", prompt);
@@ -49,7 +49,11 @@
         let tokens = prompt::tokens(prompt.len());
         let prefill = Duration::from_secs_f64(prefill_s(&blocks, tokens));
         let cached_tokens = block_tokens(state.cache.cached_blocks(&blocks));
-        Some(FirstTokenEstimate { wait: free_at + prefill - now, prefill, cached_tokens })
+        Some(FirstTokenEstimate {
+            time_to_first_token: free_at + prefill - now,
+            prefill,
+            cached_tokens,
+        })
     }
 }
 
--- a/standins/src/engine/generation.rs
+++ b/standins/src/engine/generation.rs
@@ -91,10 +91,10 @@
     ticket.started.recv().await?;
     shared.crash_if_poisoned(&request.prompt);
     let (prefill_ends_at, mut record) = ticket.begin_prefill(request);
-    let best = u64::from(shared.config.ledger.most_cached_tokens(&ticket.blocks));
+    let best = u64::from(shared.config.ground_truth.max_cached_tokens(&ticket.blocks));
     let held = record.cached_tokens + record.imported_tokens;
     record.wasted_tokens = best.min(record.prompt_tokens).saturating_sub(held);
-    shared.config.ledger.count_prefill(record);
+    shared.config.ground_truth.count_prefill(record);
     smol::Timer::at(prefill_ends_at).await;
     ticket.end_prefill(request);
     let frame_interval = shared.frame_interval();
@@ -124,7 +124,7 @@
 
 fn piece_chunk(request: &GenerateRequest, number: u64, is_last: bool) -> Value {
     let finish_reason = if is_last { json!("length") } else { Value::Null };
-    let text = answer::piece(&request.model, &request.prompt, number);
+    let text = answer::frame_text(&request.model, &request.prompt, number);
     let choice = match request.endpoint {
         Endpoint::Chat if number == 0 => {
             json!({"index": 0, "delta": {"role": "assistant", "content": text}, "finish_reason": finish_reason})
@@ -137,7 +137,7 @@
     chunk(request, &[choice], &Value::Null)
 }
 
-fn usage_chunk(request: &GenerateRequest, record: &crate::ledger::PrefillRecord) -> Value {
+fn usage_chunk(request: &GenerateRequest, record: &crate::ground_truth::PrefillRecord) -> Value {
     let cached_tokens = record.cached_tokens + record.imported_tokens;
     let usage = json!({
         "prompt_tokens": record.prompt_tokens,
--- a/standins/src/engine/mod.rs
+++ b/standins/src/engine/mod.rs
@@ -4,6 +4,7 @@
 pub mod batch;
 pub mod cache;
 pub mod config;
+mod estimate;
 pub mod events;
 mod generation;
 mod http;
@@ -12,11 +13,10 @@
 pub mod report;
 pub mod request;
 pub mod shared;
-mod truth;
 
 pub use config::{EngineConfig, ServedModel};
+pub use estimate::FirstTokenEstimate;
 pub use shared::{EngineFaults, EngineShared};
-pub use truth::FirstTokenEstimate;
 
 use crate::http_server::{Handler, HttpServer};
 use crate::runtime::{self, lock};
@@ -49,8 +49,8 @@
         let server = HttpServer::start(handler(&shared))?;
         let address = server.address();
         *lock(&shared.server) = Some(server);
-        shared.config.ledger.draw(shared.config.idle_watts);
-        shared.config.ledger.add_engine(Arc::downgrade(&shared));
+        shared.config.ground_truth.add_watts(shared.config.idle_watts);
+        shared.config.ground_truth.add_engine(Arc::downgrade(&shared));
         let reports = runtime::spawn(publish_reports(Arc::downgrade(&shared)));
         Ok(Self { address, shared, _reports: reports })
     }
@@ -102,7 +102,7 @@
     pub(crate) fn crash(self: &Arc<Self>, down: Duration) {
         let Some(server) = lock(&self.server).take() else { return };
         let address = server.address();
-        self.config.ledger.count_crash();
+        self.config.ground_truth.count_crash();
         self.reset();
         let shared = Arc::clone(self);
         let restart = async move {
@@ -174,12 +174,12 @@
         *state = EngineState::new(&self.config, state.incarnation + 1, faults);
         state.is_up = false;
         drop(state);
-        self.config.ledger.undraw(watts);
+        self.config.ground_truth.remove_watts(watts);
     }
 
     fn come_back(&self, server: HttpServer) {
         lock(&self.state).is_up = true;
-        self.config.ledger.draw(self.config.idle_watts);
+        self.config.ground_truth.add_watts(self.config.idle_watts);
         *lock(&self.server) = Some(server);
     }
 }
--- a/standins/src/engine/request.rs
+++ b/standins/src/engine/request.rs
@@ -1,7 +1,7 @@
 //! Requests for generation, parsed from HTTP.
 
 use super::answer::DEFAULT_COMPLETION_TOKENS;
-use super::cache::NamedLevel;
+use super::cache::PrefixLevel;
 use super::prompt::{self, BLOCK_BYTES};
 use anyhow::{Context as _, ensure};
 use bytes::Bytes;
@@ -40,7 +40,7 @@
     /// Number of the first frame wanted.
     pub resume_from_frame: u64,
     /// Levels of the prompt, outermost first.
-    pub levels: Vec<NamedLevel>,
+    pub levels: Vec<PrefixLevel>,
     /// Keys to import from the KV store.
     pub import_keys: Vec<u64>,
     /// Longest time that the request may take, if it names one.
@@ -88,11 +88,11 @@
     }
 }
 
-fn parse_levels(text: &str) -> Vec<NamedLevel> {
+fn parse_levels(text: &str) -> Vec<PrefixLevel> {
     let level = |pair: &str| {
         let (key, bytes) = pair.trim().split_once(':')?;
         let key = u64::from_str_radix(key, 16).ok()?;
-        Some(NamedLevel { key, blocks: bytes.parse::<usize>().ok()? / BLOCK_BYTES })
+        Some(PrefixLevel { key, blocks: bytes.parse::<usize>().ok()? / BLOCK_BYTES })
     };
     text.split(',').filter_map(level).collect()
 }
--- a/standins/src/engine/shared.rs
+++ b/standins/src/engine/shared.rs
@@ -7,8 +7,8 @@
 use super::models::Models;
 use super::prompt::BLOCK_TOKENS;
 use super::report::LoadReport;
+use crate::ground_truth::PrefillRecord;
 use crate::http_server::HttpServer;
-use crate::ledger::PrefillRecord;
 use crate::runtime::lock;
 use async_channel::{Receiver, Sender};
 use std::collections::HashMap;
@@ -25,7 +25,7 @@
     /// Whether the load report says that the engine is idle whatever it does.
     pub false_load: bool,
     /// Share of cache events that are lost, from 0 to 1, over the configured one.
-    pub event_loss: f64,
+    pub event_loss_fraction: f64,
     /// Milliseconds added to the lag of the load report.
     pub extra_load_lag_ms: u64,
     /// Whether the engine says that it is leaving.
@@ -37,7 +37,7 @@
         Self {
             slow_factor: 1.0,
             false_load: false,
-            event_loss: 0.0,
+            event_loss_fraction: 0.0,
             extra_load_lag_ms: 0,
             leaving: false,
         }
@@ -90,7 +90,7 @@
         Self {
             incarnation,
             is_up: true,
-            batch: Batch::new(config.running_requests, config.waiting_requests),
+            batch: Batch::new(config.max_running_requests, config.max_waiting_requests),
             cache: BlockCache::new(config.cache_blocks),
             events: EventLog::default(),
             published: LoadReport::idle(incarnation, &models),
@@ -119,7 +119,7 @@
     /// Records the changes of named levels that storing `blocks` makes.
     fn store(&mut self, config: &EngineConfig, blocks: &[u64], request: &GenerateRequest) {
         let shown_at = Instant::now() + Duration::from_millis(config.event_delay_ms);
-        let loss = config.event_loss.max(self.faults.event_loss);
+        let loss = config.event_loss_fraction.max(self.faults.event_loss_fraction);
         for change in self.cache.store(blocks, &request.levels) {
             let lost = self.random.f64() < loss;
             self.events.record(change, shown_at, lost);
@@ -174,7 +174,7 @@
     /// Starts waiting requests as far as the engine is free for them.
     fn start_next(&self, state: &mut EngineState) {
         if state.batch.start_next(Instant::now()) {
-            self.config.ledger.draw(self.config.request_watts);
+            self.config.ground_truth.add_watts(self.config.request_watts);
         }
     }
 }
@@ -231,7 +231,7 @@
         }
         state.cancels.remove(&self.id);
         if state.batch.remove(self.place) {
-            self.shared.config.ledger.undraw(self.shared.config.request_watts);
+            self.shared.config.ground_truth.remove_watts(self.shared.config.request_watts);
         }
         self.shared.start_next(&mut state);
     }
--- a/standins/src/ledger.rs
+++ b/standins/src/ground_truth.rs
@@ -8,7 +8,7 @@
 
 /// Ledger shared by the stand-ins of one site.
 #[derive(Default)]
-pub struct SiteLedger {
+pub struct GroundTruth {
     watts: Mutex<Watts>,
     runs: Mutex<BTreeMap<String, u32>>,
     engines: Mutex<Vec<Weak<EngineShared>>>,
@@ -47,8 +47,8 @@
     pub wasted_tokens: u64,
 }
 
-impl SiteLedger {
-    /// Returns an empty ledger.
+impl GroundTruth {
+    /// Returns counters at zero.
     pub fn new() -> Arc<Self> {
         Arc::default()
     }
@@ -89,13 +89,13 @@
         }
     }
 
-    pub(crate) fn draw(&self, watts: u32) {
+    pub(crate) fn add_watts(&self, watts: u32) {
         let mut sum = lock(&self.watts);
         sum.drawn += u64::from(watts);
         sum.peak = sum.peak.max(sum.drawn);
     }
 
-    pub(crate) fn undraw(&self, watts: u32) {
+    pub(crate) fn remove_watts(&self, watts: u32) {
         let mut sum = lock(&self.watts);
         sum.drawn = sum.drawn.saturating_sub(u64::from(watts));
     }
@@ -120,7 +120,7 @@
     }
 
     /// Returns the most tokens of a prompt that any live engine holds.
-    pub(crate) fn most_cached_tokens(&self, blocks: &[u64]) -> u32 {
+    pub(crate) fn max_cached_tokens(&self, blocks: &[u64]) -> u32 {
         let engines: Vec<_> = lock(&self.engines).iter().filter_map(Weak::upgrade).collect();
         engines.iter().map(|engine| engine.cached_tokens(blocks)).max().unwrap_or(0)
     }
--- a/standins/src/instance_list.rs
+++ b/standins/src/instance_list.rs
@@ -86,7 +86,7 @@
     }
 
     /// Registers `instance` so that the list shows it at once, as one that has long been there.
-    pub fn put_shown(&self, instance: Instance) {
+    pub fn put_immediately(&self, instance: Instance) {
         lock(&self.shared.list).shown.insert(instance.name.clone(), instance);
     }
 
--- a/standins/src/kv_store.rs
+++ b/standins/src/kv_store.rs
@@ -15,23 +15,23 @@
 #[derive(Clone, Debug)]
 pub struct KvStoreConfig {
     /// Largest number of prefixes kept.
-    pub prefixes: NonZeroUsize,
+    pub max_prefixes: NonZeroUsize,
 }
 
 impl Default for KvStoreConfig {
     fn default() -> Self {
-        Self { prefixes: NonZeroUsize::new(10_000).expect("not zero") }
+        Self { max_prefixes: NonZeroUsize::new(10_000).expect("not zero") }
     }
 }
 
 /// Running store of kept KV cache.
 pub struct KvStoreStandIn {
     server: HttpServer,
-    kept: Arc<KeptPrefixes>,
+    kept: Arc<StoredPrefixes>,
 }
 
 /// Prefixes kept, with their tokens by key.
-pub struct KeptPrefixes {
+pub struct StoredPrefixes {
     tokens: Mutex<LruCache<u64, u32>>,
 }
 
@@ -48,7 +48,8 @@
 impl KvStoreStandIn {
     /// Starts the store without prefixes.
     pub fn start(config: KvStoreConfig) -> anyhow::Result<Self> {
-        let kept = Arc::new(KeptPrefixes { tokens: Mutex::new(LruCache::new(config.prefixes)) });
+        let kept =
+            Arc::new(StoredPrefixes { tokens: Mutex::new(LruCache::new(config.max_prefixes)) });
         let answering = Arc::clone(&kept);
         let handler: Handler = Arc::new(move |request| {
             let kept = Arc::clone(&answering);
@@ -63,12 +64,12 @@
     }
 
     /// Returns the kept prefixes, which engines of the same process import and export.
-    pub fn kept(&self) -> Arc<KeptPrefixes> {
+    pub fn stored_prefixes(&self) -> Arc<StoredPrefixes> {
         Arc::clone(&self.kept)
     }
 }
 
-impl KeptPrefixes {
+impl StoredPrefixes {
     /// Returns the tokens kept under `key`, 0 if none.
     pub fn tokens(&self, key: u64) -> u32 {
         lock(&self.tokens).get(&key).copied().unwrap_or(0)
@@ -80,7 +81,7 @@
     }
 }
 
-fn answer(kept: &KeptPrefixes, request: &Request<Bytes>) -> HandlerResult {
+fn answer(kept: &StoredPrefixes, request: &Request<Bytes>) -> HandlerResult {
     let path = request.uri().path();
     if path == "/kept" && request.method() == Method::POST {
         let Ok(query) = serde_json::from_slice::<KeptQuery>(request.body()) else {
--- a/standins/src/lib.rs
+++ b/standins/src/lib.rs
@@ -4,10 +4,10 @@
 //! run together on the few threads of [`runtime`].
 
 pub mod engine;
+pub mod ground_truth;
 pub mod http_server;
 pub mod instance_list;
 pub mod kv_store;
-pub mod ledger;
 pub mod log_service;
 pub mod plain_service;
 pub mod runtime;
@@ -15,9 +15,9 @@
 pub mod zones;
 
 pub use engine::{EngineConfig, EngineStandIn, ServedModel};
+pub use ground_truth::GroundTruth;
 pub use instance_list::{InstanceListConfig, InstanceListStandIn};
 pub use kv_store::{KvStoreConfig, KvStoreStandIn};
-pub use ledger::SiteLedger;
 pub use log_service::{LogServiceConfig, LogServiceStandIn};
 pub use plain_service::{PlainServiceConfig, PlainServiceStandIn};
 pub use weight_store::{WeightStoreConfig, WeightStoreStandIn};
--- a/standins/src/plain_service.rs
+++ b/standins/src/plain_service.rs
@@ -1,7 +1,7 @@
 //! Stand-in of a plain service, which counts its runs by idempotency key.
 
+use crate::ground_truth::GroundTruth;
 use crate::http_server::{Handler, HandlerResult, HttpServer, json_response};
-use crate::ledger::SiteLedger;
 use crate::runtime::lock;
 use anyhow::bail;
 use bytes::Bytes;
@@ -23,7 +23,7 @@
     /// Milliseconds that a call takes.
     pub latency_ms: u64,
     /// Ledger of the site, if the service belongs to one.
-    pub ledger: Option<Arc<SiteLedger>>,
+    pub ground_truth: Option<Arc<GroundTruth>>,
 }
 
 /// Faults that can be switched on while the service runs.
@@ -73,8 +73,8 @@
 
 impl Shared {
     fn run(&self, key: &str) -> u32 {
-        if let Some(ledger) = &self.config.ledger {
-            ledger.count_run(key);
+        if let Some(ground_truth) = &self.config.ground_truth {
+            ground_truth.count_run(key);
         }
         let mut runs = lock(&self.runs);
         let count = runs.entry(key.to_owned()).or_default();
--- a/tests/configuration/nodes.rs
+++ b/tests/configuration/nodes.rs
@@ -55,7 +55,7 @@
         }))
         .unwrap();
         let node = Node::start(Settings::try_from(raw).unwrap()).unwrap();
-        self.list.put_shown(Instance {
+        self.list.put_immediately(Instance {
             name: node.instance().to_string(),
             kind: "entry".into(),
             address: node.partner_address(),
--- a/tests/standins/cache.rs
+++ b/tests/standins/cache.rs
@@ -1,6 +1,6 @@
 //! Block cache against a naive twin that keeps its blocks in a list.
 
-use coriandertide_standins::engine::cache::{BlockCache, LevelChange, NamedLevel};
+use coriandertide_standins::engine::cache::{BlockCache, LevelChange, PrefixLevel};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use std::collections::{BTreeMap, BTreeSet};
@@ -15,7 +15,7 @@
 }
 
 impl NaiveCache {
-    fn store(&mut self, hashes: &[u64], levels: &[NamedLevel]) -> Vec<LevelChange> {
+    fn store(&mut self, hashes: &[u64], levels: &[PrefixLevel]) -> Vec<LevelChange> {
         let mut changes = Vec::new();
         for hash in hashes.iter().rev() {
             self.blocks.retain(|block| block != hash);
@@ -37,10 +37,10 @@
 }
 
 /// Chain of block hashes of document `document`, `blocks` long, with its levels.
-fn prompt(document: u64, blocks: usize) -> (Vec<u64>, Vec<NamedLevel>) {
+fn prompt(document: u64, blocks: usize) -> (Vec<u64>, Vec<PrefixLevel>) {
     let hashes: Vec<u64> = (0..blocks as u64).map(|block| document * 100 + block).collect();
     let levels = [1, blocks / 2, blocks];
-    let levels = levels.map(|blocks| NamedLevel { key: document * 1_000 + blocks as u64, blocks });
+    let levels = levels.map(|blocks| PrefixLevel { key: document * 1_000 + blocks as u64, blocks });
     (hashes, levels.to_vec())
 }
 
--- a/tests/standins/engine.rs
+++ b/tests/standins/engine.rs
@@ -54,14 +54,14 @@
         assert_eq!(numbers, (0..=10).collect::<Vec<u64>>());
         assert!(frames.iter().all(|(_, chunk)| chunk["id"] == "a"));
         let prompt = format!("user\n{long}");
-        assert_eq!(text(&first), answer::pieces("model", &prompt, 20, 2).concat());
+        assert_eq!(text(&first), answer::frame_texts("model", &prompt, 20, 2).concat());
         assert_eq!(frames[10].1["usage"]["prompt_tokens_details"]["cached_tokens"], 0);
 
         let headers = [("x-request-id", "b"), ("x-resume-from-frame", "7")];
         let resumed = generate(engine.address(), &long, &headers).await.unwrap();
         let (frames, whole) = resumed.frames();
         assert!(whole);
-        assert_eq!(text(&resumed), answer::pieces("model", &prompt, 20, 2)[7..].concat());
+        assert_eq!(text(&resumed), answer::frame_texts("model", &prompt, 20, 2)[7..].concat());
         let cached = &frames.last().unwrap().1["usage"]["prompt_tokens_details"]["cached_tokens"];
         let blocks = prompt.len() / prompt::BLOCK_BYTES;
         assert_eq!(cached.as_u64().unwrap(), blocks as u64 * u64::from(prompt::BLOCK_TOKENS));
@@ -71,8 +71,8 @@
 #[test]
 fn other_weights_and_a_full_queue_are_refused() {
     let config = EngineConfig {
-        running_requests: 1,
-        waiting_requests: 1,
+        max_running_requests: 1,
+        max_waiting_requests: 1,
         decode_tokens_per_s: 40,
         ..fast()
     };
@@ -107,7 +107,7 @@
 #[test]
 fn crash_cuts_streams_and_returns_empty() {
     let config = EngineConfig { poison_marker: Some("poison".into()), ..fast() };
-    let ledger = config.ledger.clone();
+    let ground_truth = config.ground_truth.clone();
     let engine = EngineStandIn::start(config).unwrap();
     smol::block_on(async {
         let long = "manual ".repeat(200);
@@ -123,8 +123,8 @@
         let (frames, _) = again.frames();
         let usage = &frames.last().unwrap().1["usage"];
         assert_eq!(usage["prompt_tokens_details"]["cached_tokens"], 0);
-        assert!(ledger.peak_watts() >= 120);
-        while ledger.drawn_watts() > 100 {
+        assert!(ground_truth.peak_watts() >= 120);
+        while ground_truth.drawn_watts() > 100 {
             smol::Timer::after(Duration::from_millis(10)).await;
         }
     });
@@ -181,7 +181,7 @@
 
 #[test]
 fn load_report_leaves_cached_prompts_out() {
-    let config = EngineConfig { running_requests: 1, decode_tokens_per_s: 20, ..fast() };
+    let config = EngineConfig { max_running_requests: 1, decode_tokens_per_s: 20, ..fast() };
     let engine = EngineStandIn::start(config).unwrap();
     let address = engine.address();
     smol::block_on(async {
--- a/tests/standins/platform.rs
+++ b/tests/standins/platform.rs
@@ -56,7 +56,7 @@
         availability_zone: "couva".into(),
         state: "live".into(),
     };
-    list.put_shown(shown.clone());
+    list.put_immediately(shown.clone());
     list.put(Instance { name: "node-2".into(), ..shown });
     list.remove("node-1");
     smol::block_on(async {
--- a/tests/whole_path/answers.rs
+++ b/tests/whole_path/answers.rs
@@ -2,7 +2,7 @@
 
 use super::caller::{Answer, call, chat, chat_text, get, open, post};
 use super::site::Site;
-use coriandertide_standins::engine::answer::pieces;
+use coriandertide_standins::engine::answer::frame_texts;
 use serde_json::Value;
 use std::net::SocketAddr;
 use std::thread;
@@ -23,7 +23,7 @@
             )
         })
         .collect();
-    pieces("small", &prompt, TOKENS, 1).concat()
+    frame_texts("small", &prompt, TOKENS, 1).concat()
 }
 
 fn send_streamed(address: SocketAddr) -> Answer {
--- a/tests/whole_path/partners.rs
+++ b/tests/whole_path/partners.rs
@@ -10,7 +10,7 @@
 use std::time::{Duration, Instant};
 
 pub fn register(site: &Site, name: &str, node: &Node) {
-    site.list.put_shown(Instance {
+    site.list.put_immediately(Instance {
         name: name.into(),
         kind: "entry".into(),
         address: node.partner_address(),
@@ -55,7 +55,7 @@
         let request = post("/v1/chat/completions", body.to_string());
         assert!(call(node.caller_address(), request).unwrap().status.is_success());
     };
-    site.list.put_shown(Instance {
+    site.list.put_immediately(Instance {
         name: "engine-0".into(),
         kind: "backend_server".into(),
         address: site.engines[0].address(),
