--- a/standins/src/engine/batch.rs
+++ b/standins/src/engine/batch.rs
@@ -1,114 +1,123 @@
-//! Continuous batch of an engine: requests that run, and those that wait by priority.
+//! Continuous batch of an engine: running requests, and waiting requests by priority.
 
 use async_channel::Sender;
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
 use std::time::Instant;
 
-/// Place of a request in the order of waiting: higher priorities first, then by arrival.
+/// Position of a request in the queue: by descending priority, then by arrival.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
-pub struct Place {
+pub struct QueuePosition {
     priority: Reverse<u8>,
     arrival: u64,
 }
 
-/// Request that waits.
-pub struct Waiting {
-    /// Told when the request may start its prefill.
+/// Request in the queue.
+pub struct WaitingRequest {
+    /// Signals that the request may start its prefill.
     pub start: Sender<()>,
-    /// Hashes of the blocks of the prompt.
+    /// Block hashes of the prompt.
     pub blocks: Vec<u64>,
-    /// Tokens of the prompt.
+    /// Tokens in the prompt.
     pub prompt_tokens: u32,
-    /// Seconds that the request will decode.
+    /// Expected duration of its decode, in seconds.
     pub decode_s: f64,
 }
 
-/// Requests of one incarnation of an engine. One request is prefilled at a time.
+/// Requests of one incarnation of an engine, of which one is prefilled at a time.
 pub struct Batch {
-    running_limit: usize,
-    waiting_limit: usize,
-    running: BTreeMap<Place, Instant>,
-    prefilling: Option<Place>,
+    max_running: usize,
+    max_waiting: usize,
+    /// Running requests with the expected end of their decode.
+    running: BTreeMap<QueuePosition, Instant>,
+    prefilling: Option<QueuePosition>,
     prefill_ends_at: Option<Instant>,
-    waiting: BTreeMap<Place, Waiting>,
-    arrivals: u64,
+    waiting: BTreeMap<QueuePosition, WaitingRequest>,
+    accepted_requests: u64,
 }
 
 impl Batch {
-    /// Returns an empty batch.
-    pub fn new(running_limit: usize, waiting_limit: usize) -> Self {
+    /// Returns an empty batch that runs up to `max_running` requests, at least 1.
+    pub fn new(max_running: usize, max_waiting: usize) -> Self {
         Self {
-            running_limit: running_limit.max(1),
-            waiting_limit,
+            max_running: max_running.max(1),
+            max_waiting,
             running: BTreeMap::new(),
             prefilling: None,
             prefill_ends_at: None,
             waiting: BTreeMap::new(),
-            arrivals: 0,
+            accepted_requests: 0,
         }
     }
 
-    /// Adds a request, or returns `None` when the queue is full.
-    pub fn add(&mut self, priority: u8, waiting: Waiting) -> Option<Place> {
-        if self.waiting.len() >= self.waiting_limit.max(1) {
+    /// Adds a request to the queue and returns its position, or `None` if the queue is full.
+    pub fn enqueue(&mut self, priority: u8, waiting: WaitingRequest) -> Option<QueuePosition> {
+        if self.waiting.len() >= self.max_waiting.max(1) {
             return None;
         }
-        let place = Place { priority: Reverse(priority), arrival: self.arrivals };
-        self.arrivals += 1;
-        self.waiting.insert(place, waiting);
-        Some(place)
+        let position =
+            QueuePosition { priority: Reverse(priority), arrival: self.accepted_requests };
+        self.accepted_requests += 1;
+        self.waiting.insert(position, waiting);
+        Some(position)
     }
 
-    /// Starts the next prefill if the engine is free for one; returns whether a request started.
+    /// Starts the next waiting request if no prefill is running and a slot is free.
+    ///
+    /// Returns whether a request started.
     pub fn start_next(&mut self, now: Instant) -> bool {
-        if self.prefilling.is_some() || self.running.len() >= self.running_limit {
+        if self.prefilling.is_some() || self.running.len() >= self.max_running {
             return false;
         }
-        let Some((place, waiting)) = self.waiting.pop_first() else { return false };
-        self.prefilling = Some(place);
+        let Some((position, waiting)) = self.waiting.pop_first() else { return false };
+        self.prefilling = Some(position);
         self.prefill_ends_at = None;
-        self.running.insert(place, now);
-        // The receiver is gone only if the request is being dropped; its ticket then removes it.
+        self.running.insert(position, now);
+        // Sending fails only if the request is being dropped, and its guard then removes it.
         let _ = waiting.start.try_send(());
         true
     }
 
-    /// Notes when the prefill under way ends and when its request will have been decoded.
-    pub fn set_ends(&mut self, place: Place, prefill_ends_at: Instant, decode_ends_at: Instant) {
+    /// Sets when the current prefill ends and when its request will have been decoded.
+    pub fn set_end_times(
+        &mut self,
+        position: QueuePosition,
+        prefill_ends_at: Instant,
+        decode_ends_at: Instant,
+    ) {
         self.prefill_ends_at = Some(prefill_ends_at);
-        if let Some(end) = self.running.get_mut(&place) {
+        if let Some(end) = self.running.get_mut(&position) {
             *end = decode_ends_at;
         }
     }
 
-    /// Ends the prefill of a request, which goes on to decode.
-    pub fn end_prefill(&mut self, place: Place) {
-        if self.prefilling == Some(place) {
+    /// Marks the prefill of a request as done; the request keeps running until it is decoded.
+    pub fn end_prefill(&mut self, position: QueuePosition) {
+        if self.prefilling == Some(position) {
             self.prefilling = None;
             self.prefill_ends_at = None;
         }
     }
 
-    /// Removes a request; returns whether it was running.
-    pub fn remove(&mut self, place: Place) -> bool {
-        self.end_prefill(place);
-        self.waiting.remove(&place);
-        self.running.remove(&place).is_some()
+    /// Removes a request and returns whether it was running.
+    pub fn remove(&mut self, position: QueuePosition) -> bool {
+        self.end_prefill(position);
+        self.waiting.remove(&position);
+        self.running.remove(&position).is_some()
     }
 
-    /// Returns the number of requests ever added.
-    pub fn arrivals(&self) -> u64 {
-        self.arrivals
+    /// Returns the number of requests accepted into the queue since the start.
+    pub fn accepted_requests(&self) -> u64 {
+        self.accepted_requests
     }
 
     /// Returns the number of running requests.
-    pub fn running(&self) -> usize {
+    pub fn running_requests(&self) -> usize {
         self.running.len()
     }
 
-    /// Returns the waiting requests in the order in which they will start.
-    pub fn waiting(&self) -> impl Iterator<Item = &Waiting> {
+    /// Returns the waiting requests in queue order.
+    pub fn waiting(&self) -> impl Iterator<Item = &WaitingRequest> {
         self.waiting.values()
     }
 
@@ -117,18 +126,18 @@
         self.waiting.len()
     }
 
-    /// Returns when the prefill under way ends, if there is one.
+    /// Returns when the current prefill ends, if one is running.
     pub fn prefill_ends_at(&self) -> Option<Instant> {
         self.prefill_ends_at
     }
 
-    /// Returns when each running request will have been decoded.
-    pub fn decode_ends(&self) -> Vec<Instant> {
+    /// Returns the expected end of each running request.
+    pub fn decode_end_times(&self) -> Vec<Instant> {
         self.running.values().copied().collect()
     }
 
-    /// Returns the number of requests that may run at once.
-    pub fn running_limit(&self) -> usize {
-        self.running_limit
+    /// Returns the maximum number of requests that run at once.
+    pub fn max_running(&self) -> usize {
+        self.max_running
     }
 }
--- a/standins/src/engine/cache.rs
+++ b/standins/src/engine/cache.rs
@@ -1,57 +1,58 @@
-//! Prefix cache of an engine: blocks in order of use, and the levels that requests named in it.
+//! Prefix cache of an engine: an LRU cache of blocks, and the prefix levels cached in it.
 
 use lru::LruCache;
 use std::collections::{BTreeSet, HashMap};
 use std::num::NonZeroUsize;
 
-/// Level of a prompt as named by a request.
+/// Level of a prompt: a prefix that a request names by its key.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct PrefixLevel {
-    /// Key of the prefix.
+    /// Prefix key.
     pub key: u64,
-    /// Whole blocks up to the end of the level.
+    /// Number of whole blocks in the prefix.
     pub blocks: usize,
 }
 
-/// Change of a named level.
+/// Change of a prefix level in the cache.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum LevelChange {
-    /// The prefix is cached up to `blocks`.
+    /// The prefix is now cached whole.
     Stored {
-        /// Key of the prefix.
+        /// Prefix key.
         key: u64,
-        /// Whole blocks up to the end of the level.
+        /// Number of whole blocks in the prefix.
         blocks: usize,
     },
-    /// The prefix is no longer wholly cached.
+    /// The prefix is no longer cached whole.
     Evicted {
-        /// Key of the prefix.
+        /// Prefix key.
         key: u64,
     },
 }
 
-/// Bounded cache of blocks; the least recently used block goes first.
+/// Bounded cache of blocks, which evicts the least recently used block.
 pub struct BlockCache {
     blocks: LruCache<u64, ()>,
+    /// Keys of the levels that end with a block, by the block's hash.
     level_keys: HashMap<u64, BTreeSet<u64>>,
 }
 
 impl BlockCache {
-    /// Returns an empty cache of `capacity` blocks, at least one.
+    /// Returns an empty cache of `capacity` blocks, at least 1.
     pub fn new(capacity: usize) -> Self {
         let capacity = NonZeroUsize::new(capacity).unwrap_or(NonZeroUsize::MIN);
         Self { blocks: LruCache::new(capacity), level_keys: HashMap::new() }
     }
 
-    /// Returns how many of the leading `hashes` are cached, without counting as a use.
+    /// Returns the number of leading `hashes` that are cached, without marking them as used.
     pub fn cached_blocks(&self, hashes: &[u64]) -> usize {
         hashes.iter().take_while(|hash| self.blocks.contains(hash)).count()
     }
 
-    /// Stores all `hashes` of a prompt and returns the changes of named levels.
+    /// Caches all blocks of a prompt and returns the changes of prefix levels.
     pub fn store(&mut self, hashes: &[u64], levels: &[PrefixLevel]) -> Vec<LevelChange> {
         let mut changes = Vec::new();
-        // The last block is used first, so that a prefix loses its end before its start.
+        // Pushed from the last block to the first, so that the end of a prefix is evicted first.
         for hash in hashes.iter().rev() {
             if let Some((evicted, ())) = self.blocks.push(*hash, ())
                 && evicted != *hash
--- a/standins/src/engine/config.rs
+++ b/standins/src/engine/config.rs
@@ -6,59 +6,59 @@
 use crate::zones::ZoneDelays;
 use std::sync::Arc;
 
-/// Model on an engine.
+/// Model that an engine serves.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct ServedModel {
-    /// Model.
+    /// Model name.
     pub model: String,
-    /// Version of its weights.
+    /// Version of the weights.
     pub weights_version: String,
 }
 
 /// Settings of an engine.
 #[derive(Clone)]
 pub struct EngineConfig {
-    /// Name of the server.
+    /// Name of the backend server.
     pub name: String,
-    /// Availability zone.
+    /// Availability zone of the engine.
     pub availability_zone: String,
-    /// Models loaded at the start.
+    /// Models loaded at startup.
     pub models: Vec<ServedModel>,
-    /// Requests that run at once.
+    /// Maximum requests that run at once.
     pub max_running_requests: usize,
-    /// Requests that may wait; more are refused.
+    /// Maximum waiting requests; more are refused.
     pub max_waiting_requests: usize,
-    /// Blocks of 16 tokens that the prefix cache holds.
+    /// Capacity of the prefix cache, in blocks of 16 tokens.
     pub cache_blocks: usize,
-    /// Prompt tokens computed a second.
+    /// Prefill rate, in prompt tokens per second.
     pub prefill_tokens_per_s: u32,
-    /// Tokens generated a second for each request.
+    /// Decode rate of each request, in tokens per second.
     pub decode_tokens_per_s: u32,
-    /// Tokens imported from the KV store a second.
+    /// Rate of imports from the KV store, in tokens per second.
     pub import_tokens_per_s: u32,
-    /// Tokens in each frame.
+    /// Tokens in each frame of a stream.
     pub tokens_per_frame: u32,
-    /// Milliseconds by which the load report lags.
+    /// Age of the published load report, in milliseconds.
     pub load_lag_ms: u64,
-    /// Milliseconds after which a cache event shows.
+    /// Delay until a cache event becomes visible, in milliseconds.
     pub event_delay_ms: u64,
-    /// Share of cache events that are lost, from 0 to 1.
+    /// Fraction of cache events that are lost, from 0 to 1.
     pub event_loss_fraction: f64,
-    /// Whether orders with an old fencing number are refused.
+    /// Whether orders with an outdated fencing number are refused.
     pub checks_fencing: bool,
-    /// Draw without work.
+    /// Power draw without running requests, in watts.
     pub idle_watts: u32,
-    /// Additional draw of each running request.
+    /// Additional power draw of each running request, in watts.
     pub request_watts: u32,
-    /// Text that crashes the engine when a prompt holds it.
+    /// Text that crashes the engine when a prompt contains it.
     pub poison_marker: Option<String>,
-    /// Delays between availability zones.
+    /// Simulated network between availability zones.
     pub zone_delays: ZoneDelays,
-    /// Ledger of the site.
+    /// Counters of the site.
     pub ground_truth: Arc<GroundTruth>,
-    /// Store of kept KV cache.
+    /// External KV store, if the engine uses one.
     pub kv_store: Option<Arc<StoredPrefixes>>,
-    /// Transfers from the weight store; without it models load at once.
+    /// Transfers from the weight store; without them models load immediately.
     pub weight_store: Option<Arc<Transfers>>,
 }
 
--- a/standins/src/engine/estimate.rs
+++ b/standins/src/engine/estimate.rs
@@ -1,4 +1,6 @@
-//! True state of an engine, for the omniscient policy alone.
+//! Estimate of the time to first token from an engine's actual state.
+//!
+//! Only the omniscient policy uses it; the product sees nothing but reports and events.
 
 use super::EngineStandIn;
 use super::prompt;
@@ -7,19 +9,21 @@
 use std::collections::BTreeSet;
 use std::time::{Duration, Instant};
 
-/// What an engine would do with a request, from its true cache and queue.
+/// Time to first token that a request would have on an engine, from its actual cache and queue.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct FirstTokenEstimate {
-    /// Time until the prefill would end.
+    /// Time until the prefill of the request would end.
     pub time_to_first_token: Duration,
-    /// Time that the prefill would take.
+    /// Duration of the prefill.
     pub prefill: Duration,
-    /// Prompt tokens in the cache.
+    /// Prompt tokens that the engine has cached.
     pub cached_tokens: u32,
 }
 
 impl EngineStandIn {
-    /// Returns what the engine would do with a prompt, or `None` if it would refuse it.
+    /// Simulates the queue with `prompt` at its end.
+    ///
+    /// Returns `None` if the engine would refuse the request.
     pub fn first_token_estimate(&self, model: &str, prompt: &str) -> Option<FirstTokenEstimate> {
         let config = self.config();
         let state = lock(&self.shared.state);
@@ -30,41 +34,42 @@
         let blocks = prompt::block_hashes(model, &served.weights_version, "", prompt);
         let prefill_s = |blocks: &[u64], tokens: u32| {
             let cached = block_tokens(state.cache.cached_blocks(blocks));
-            let missed = tokens.saturating_sub(cached).max(1);
-            f64::from(missed) * state.faults.slow_factor / f64::from(config.prefill_tokens_per_s)
+            let uncached = tokens.saturating_sub(cached).max(1);
+            f64::from(uncached) * state.faults.slow_factor / f64::from(config.prefill_tokens_per_s)
         };
         let now = Instant::now();
-        let mut free_at = state.batch.prefill_ends_at().map_or(now, |ends_at| ends_at.max(now));
+        let mut next_prefill_at =
+            state.batch.prefill_ends_at().map_or(now, |ends_at| ends_at.max(now));
         let mut decode_ends: BTreeSet<(Instant, usize)> =
-            state.batch.decode_ends().into_iter().zip(0..).collect();
-        let limit = state.batch.running_limit();
+            state.batch.decode_end_times().into_iter().zip(0..).collect();
+        let limit = state.batch.max_running();
         for (index, waiting) in state.batch.waiting().enumerate() {
-            free_at = next_slot(&mut decode_ends, limit, free_at);
+            next_prefill_at = next_slot_at(&mut decode_ends, limit, next_prefill_at);
             let prefill = prefill_s(&waiting.blocks, waiting.prompt_tokens);
-            free_at += Duration::from_secs_f64(prefill);
+            next_prefill_at += Duration::from_secs_f64(prefill);
             let decode = Duration::from_secs_f64(waiting.decode_s * state.faults.slow_factor);
-            decode_ends.insert((free_at + decode, limit + index));
+            decode_ends.insert((next_prefill_at + decode, limit + index));
         }
-        free_at = next_slot(&mut decode_ends, limit, free_at);
+        next_prefill_at = next_slot_at(&mut decode_ends, limit, next_prefill_at);
         let tokens = prompt::tokens(prompt.len());
         let prefill = Duration::from_secs_f64(prefill_s(&blocks, tokens));
         let cached_tokens = block_tokens(state.cache.cached_blocks(&blocks));
         Some(FirstTokenEstimate {
-            time_to_first_token: free_at + prefill - now,
+            time_to_first_token: next_prefill_at + prefill - now,
             prefill,
             cached_tokens,
         })
     }
 }
 
-/// Returns when the next request can start, at `free_at` or when a running one has been decoded.
-fn next_slot(
+/// Returns when the next request can start: at `not_before`, or later once a running request ends.
+fn next_slot_at(
     decode_ends: &mut BTreeSet<(Instant, usize)>,
     limit: usize,
-    free_at: Instant,
+    not_before: Instant,
 ) -> Instant {
     if decode_ends.len() < limit {
-        return free_at;
+        return not_before;
     }
-    decode_ends.pop_first().map_or(free_at, |(ends_at, _)| ends_at.max(free_at))
+    decode_ends.pop_first().map_or(not_before, |(ends_at, _)| ends_at.max(not_before))
 }
--- a/standins/src/engine/events.rs
+++ b/standins/src/engine/events.rs
@@ -1,4 +1,4 @@
-//! Cache events of an engine, shown late and with gaps.
+//! Cache events of an engine, delayed and with gaps where events are lost.
 
 use super::cache::LevelChange;
 use super::prompt::BLOCK_TOKENS;
@@ -6,29 +6,29 @@
 use std::collections::VecDeque;
 use std::time::Instant;
 
-/// Largest number of events kept.
-const KEPT_EVENTS: usize = 20_000;
-/// Largest number of events in one page.
-const PAGE_EVENTS: usize = 2_000;
+/// Maximum events retained.
+const MAX_EVENTS: usize = 20_000;
+/// Maximum events in one page.
+const MAX_PAGE_EVENTS: usize = 2_000;
 
-/// Cache event in the form that callers see.
+/// Cache event in the JSON format of the engine protocol.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize)]
 #[serde(tag = "kind", rename_all = "snake_case")]
 pub enum Event {
-    /// A prefix is cached.
+    /// A prefix is now cached whole.
     Stored {
         /// Sequence number.
         sequence: u64,
-        /// Key that the request named for the level.
+        /// Prefix key.
         prefix_key: u64,
-        /// Tokens up to the end of the level.
+        /// Number of tokens in the prefix.
         tokens: u32,
     },
-    /// A prefix is no longer wholly cached.
+    /// A prefix is no longer cached whole.
     Evicted {
         /// Sequence number.
         sequence: u64,
-        /// Key that the request named for the level.
+        /// Prefix key.
         prefix_key: u64,
     },
 }
@@ -41,16 +41,17 @@
     }
 }
 
-/// Events of one incarnation.
+/// Cache events of one incarnation.
 #[derive(Default)]
 pub struct EventLog {
     next_sequence: u64,
+    /// Events with the time from which each is visible.
     events: VecDeque<(Instant, Event)>,
 }
 
 impl EventLog {
-    /// Records `change`, to be shown from `shown_at` on, or leaves a gap if it is `lost`.
-    pub fn record(&mut self, change: LevelChange, shown_at: Instant, lost: bool) {
+    /// Records `change`, visible from `visible_at`; a `lost` change only uses up a sequence number.
+    pub fn record(&mut self, change: LevelChange, visible_at: Instant, lost: bool) {
         let sequence = self.next_sequence;
         self.next_sequence += 1;
         if lost {
@@ -63,26 +64,26 @@
             }
             LevelChange::Evicted { key } => Event::Evicted { sequence, prefix_key: key },
         };
-        self.events.push_back((shown_at, event));
-        if self.events.len() > KEPT_EVENTS {
+        self.events.push_back((visible_at, event));
+        if self.events.len() > MAX_EVENTS {
             self.events.pop_front();
         }
     }
 
-    /// Returns the events from sequence number `from` on that show at `now`, and the number to ask
-    /// for next.
+    /// Returns the events from sequence number `from` that are visible at `now`, and the sequence
+    /// number from which the next page starts.
     pub fn page(&self, from: u64, now: Instant) -> (Vec<Event>, u64) {
-        let shown = self.events.iter().take_while(|(shown_at, _)| *shown_at <= now);
-        let events: Vec<Event> = shown
+        let visible = self.events.iter().take_while(|(visible_at, _)| *visible_at <= now);
+        let events: Vec<Event> = visible
             .map(|(_, event)| *event)
             .filter(|event| event.sequence() >= from)
-            .take(PAGE_EVENTS)
+            .take(MAX_PAGE_EVENTS)
             .collect();
         let next = events.last().map_or(from, |event| event.sequence() + 1);
         (events, next)
     }
 
-    /// Returns the sequence number that the next event will get.
+    /// Returns the sequence number of the next event.
     pub fn next_sequence(&self) -> u64 {
         self.next_sequence
     }
--- a/standins/src/engine/generation.rs
+++ b/standins/src/engine/generation.rs
@@ -1,8 +1,8 @@
-//! Run of one request: wait, prefill, decode, each frame after the delay of its link.
+//! Runs one request: waits, prefills and decodes, and sends each frame after the link delay.
 
 use super::answer;
 use super::request::{Endpoint, GenerateRequest};
-use super::shared::{EngineShared, Ticket};
+use super::shared::{EngineShared, RequestGuard};
 use anyhow::bail;
 use async_channel::{Receiver, Sender};
 use bytes::Bytes;
@@ -15,29 +15,31 @@
 use std::task::{Context, Poll};
 use std::time::{Duration, Instant};
 
-/// Frames that may be ahead of the reader.
-const FRAMES_AHEAD: usize = 64;
+/// Maximum frames buffered ahead of the reader.
+const MAX_BUFFERED_FRAMES: usize = 64;
 
 type BodyFrame = anyhow::Result<Frame<Bytes>>;
 
-/// Stream of a body whose writer runs while the body is read and ends when it is dropped.
+/// Response body that generates its frames while it is polled.
+///
+/// Dropping it, for example when the caller disconnects, ends the request.
 pub(crate) struct GeneratedBody {
     writer: Option<Pin<Box<dyn Future<Output = ()> + Send>>>,
     frames: Pin<Box<Receiver<BodyFrame>>>,
 }
 
 impl GeneratedBody {
-    /// Returns the body of an accepted request that came over a link of `link_delay`.
+    /// Returns the body for an accepted request whose link has the one-way delay `link_delay`.
     pub fn new(
         shared: Arc<EngineShared>,
         request: GenerateRequest,
-        ticket: Ticket,
+        guard: RequestGuard,
         link_delay: Duration,
     ) -> Self {
-        let (sender, frames) = async_channel::bounded(FRAMES_AHEAD);
+        let (sender, frames) = async_channel::bounded(MAX_BUFFERED_FRAMES);
         let writer = async move {
-            if let Err(error) = run(&shared, &request, ticket, link_delay, &sender).await {
-                // The reader may be gone, which ends the request as well.
+            if let Err(error) = run(&shared, &request, guard, link_delay, &sender).await {
+                // Sending fails only if the body has been dropped, which ends the request as well.
                 let _ = sender.send(Err(error)).await;
             }
         };
@@ -61,53 +63,56 @@
 async fn run(
     shared: &Arc<EngineShared>,
     request: &GenerateRequest,
-    ticket: Ticket,
+    guard: RequestGuard,
     link_delay: Duration,
     frames: &Sender<BodyFrame>,
 ) -> anyhow::Result<()> {
-    let cancelled = ticket.cancelled.clone();
-    let end = async {
+    let cancelled = guard.cancelled.clone();
+    let cancellation = async {
         let _ = cancelled.recv().await;
         bail!("the request was cancelled")
     };
-    let time_limit = async {
+    let timeout = async {
         match request.time_limit {
             Some(limit) => smol::Timer::after(limit).await,
             None => future::pending().await,
         };
-        bail!("the request ran out of time")
+        bail!("the request exceeded its time limit")
     };
-    let generation = generate(shared, request, ticket, link_delay, frames);
-    future::or(generation, future::or(end, time_limit)).await
+    let generation = generate(shared, request, guard, link_delay, frames);
+    future::or(generation, future::or(cancellation, timeout)).await
 }
 
 async fn generate(
     shared: &Arc<EngineShared>,
     request: &GenerateRequest,
-    ticket: Ticket,
+    guard: RequestGuard,
     link_delay: Duration,
     frames: &Sender<BodyFrame>,
 ) -> anyhow::Result<()> {
-    ticket.started.recv().await?;
+    guard.started.recv().await?;
     shared.crash_if_poisoned(&request.prompt);
-    let (prefill_ends_at, mut record) = ticket.begin_prefill(request);
-    let best = u64::from(shared.config.ground_truth.max_cached_tokens(&ticket.blocks));
-    let held = record.cached_tokens + record.imported_tokens;
-    record.wasted_tokens = best.min(record.prompt_tokens).saturating_sub(held);
+    let (prefill_ends_at, mut record) = guard.start_prefill(request);
+    let max_cached = u64::from(shared.config.ground_truth.max_cached_tokens(&guard.blocks));
+    let available = record.cached_tokens + record.imported_tokens;
+    record.wasted_tokens = max_cached.min(record.prompt_tokens).saturating_sub(available);
     shared.config.ground_truth.count_prefill(record);
     smol::Timer::at(prefill_ends_at).await;
-    ticket.end_prefill(request);
+    guard.end_prefill(request);
     let frame_interval = shared.frame_interval();
-    // The first token starts the first frame; a frame is sent with its first token.
+    // Each frame is sent when its first token is generated.
     let mut due_at = prefill_ends_at + link_delay + frame_interval / shared.config.tokens_per_frame;
-    let last = answer::frames(request.completion_tokens, shared.config.tokens_per_frame);
-    for number in request.resume_from_frame..last {
+    let frame_count =
+        answer::frame_count(request.completion_tokens, shared.config.tokens_per_frame);
+    for number in request.resume_from_frame..frame_count {
         wait_until(due_at).await;
-        frames.send(Ok(event(number, &piece_chunk(request, number, number + 1 == last)))).await?;
+        frames
+            .send(Ok(event(number, &text_chunk(request, number, number + 1 == frame_count))))
+            .await?;
         due_at += frame_interval;
     }
     wait_until(due_at).await;
-    frames.send(Ok(event(last, &usage_chunk(request, &record)))).await?;
+    frames.send(Ok(event(frame_count, &usage_chunk(request, &record)))).await?;
     frames.send(Ok(Frame::data(Bytes::from_static(b"data: [DONE]\n\n")))).await?;
     Ok(())
 }
@@ -122,7 +127,7 @@
     Frame::data(Bytes::from(format!("id: {number}\ndata: {chunk}\n\n")))
 }
 
-fn piece_chunk(request: &GenerateRequest, number: u64, is_last: bool) -> Value {
+fn text_chunk(request: &GenerateRequest, number: u64, is_last: bool) -> Value {
     let finish_reason = if is_last { json!("length") } else { Value::Null };
     let text = answer::frame_text(&request.model, &request.prompt, number);
     let choice = match request.endpoint {
--- a/standins/src/engine/http.rs
+++ b/standins/src/engine/http.rs
@@ -14,10 +14,10 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// Milliseconds after which a refused caller may come back.
+/// Milliseconds after which a refused caller may retry.
 const RETRY_AFTER_MS: &str = "200";
 
-/// Answers `request` after the delay of the link that it came over.
+/// Handles `request`, delayed by its link in both directions.
 pub(crate) async fn answer(shared: Arc<EngineShared>, request: Request<Bytes>) -> HandlerResult {
     let Some(link_delay) = shared.link_delay(&request) else {
         smol::Timer::after(Duration::from_secs(1)).await;
@@ -33,7 +33,7 @@
             return generate(shared, Endpoint::Completion, &request, link_delay);
         }
         (&Method::GET, "/load") => {
-            json_response(StatusCode::OK, &lock(&shared.state).published.clone())
+            json_response(StatusCode::OK, &lock(&shared.state).published_report.clone())
         }
         (&Method::GET, "/events") => events(&shared, &request),
         (&Method::POST, "/orders") => order(&shared, &request),
@@ -56,16 +56,16 @@
             return error_response(StatusCode::BAD_REQUEST, "body", &format!("{error:#}"));
         }
     };
-    let ticket = match shared.accept(&request) {
-        Ok(ticket) => ticket,
+    let guard = match shared.enqueue(&request) {
+        Ok(guard) => guard,
         Err(refusal) => return refuse(refusal),
     };
     let (incarnation, load) = {
         let state = lock(&shared.state);
-        (state.incarnation, serde_json::to_string(&state.published)?)
+        (state.incarnation, serde_json::to_string(&state.published_report)?)
     };
     let id = request.id.clone();
-    let body = GeneratedBody::new(shared, request, ticket, link_delay);
+    let body = GeneratedBody::new(shared, request, guard, link_delay);
     let response = Response::builder()
         .header(header::CONTENT_TYPE, "text/event-stream")
         .header("x-request-id", id)
--- a/standins/src/engine/mod.rs
+++ b/standins/src/engine/mod.rs
@@ -1,4 +1,4 @@
-//! Stand-in of a model engine: continuous batching, a bounded prefix cache and the faults of both.
+//! Stand-in for a model engine, with continuous batching, a bounded prefix cache and faults.
 
 pub mod answer;
 pub mod batch;
@@ -30,18 +30,22 @@
 use std::sync::{Arc, Mutex, Weak};
 use std::time::Duration;
 
-/// Time from a crash to the return, where nothing else is asked for.
-const RESTART_DELAY: Duration = Duration::from_millis(500);
+/// Downtime after a crash caused by a poison prompt.
+const POISON_DOWNTIME: Duration = Duration::from_millis(500);
 
 /// Running engine.
 pub struct EngineStandIn {
     address: SocketAddr,
     shared: Arc<EngineShared>,
-    _reports: Task<()>,
+    _report_task: Task<()>,
 }
 
 impl EngineStandIn {
     /// Starts the engine with an empty cache.
+    ///
+    /// # Errors
+    ///
+    /// Returns an error if no port can be bound.
     pub fn start(config: EngineConfig) -> anyhow::Result<Self> {
         let state = EngineState::new(&config, fastrand::u64(1..1 << 48), EngineFaults::default());
         let shared =
@@ -51,11 +55,11 @@
         *lock(&shared.server) = Some(server);
         shared.config.ground_truth.add_watts(shared.config.idle_watts);
         shared.config.ground_truth.add_engine(Arc::downgrade(&shared));
-        let reports = runtime::spawn(publish_reports(Arc::downgrade(&shared)));
-        Ok(Self { address, shared, _reports: reports })
+        let report_task = runtime::spawn(publish_reports(Arc::downgrade(&shared)));
+        Ok(Self { address, shared, _report_task: report_task })
     }
 
-    /// Returns the address of the engine.
+    /// Returns the listening address.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
@@ -65,29 +69,29 @@
         &self.shared.config
     }
 
-    /// Crashes the engine, which comes back empty after `down`.
-    pub fn crash(&self, down: Duration) {
-        self.shared.crash(down);
+    /// Crashes the engine; it restarts with an empty cache after `downtime`.
+    pub fn crash(&self, downtime: Duration) {
+        self.shared.crash(downtime);
     }
 
-    /// Sets the faults from now on.
+    /// Replaces the active faults.
     pub fn set_faults(&self, faults: EngineFaults) {
         lock(&self.shared.state).faults = faults;
     }
 
-    /// Returns whether the engine is up.
+    /// Returns whether the engine is running, not down after a crash.
     pub fn is_up(&self) -> bool {
         lock(&self.shared.state).is_up
     }
 
-    /// Returns the number of requests accepted by the present incarnation.
+    /// Returns the number of requests accepted by the current incarnation.
     pub fn accepted_requests(&self) -> u64 {
-        lock(&self.shared.state).batch.arrivals()
+        lock(&self.shared.state).batch.accepted_requests()
     }
 
-    /// Returns the true number of running requests.
+    /// Returns the actual number of running requests, which the load report shows late.
     pub fn running_requests(&self) -> usize {
-        lock(&self.shared.state).batch.running()
+        lock(&self.shared.state).batch.running_requests()
     }
 }
 
@@ -98,33 +102,33 @@
 }
 
 impl EngineShared {
-    /// Crashes the engine, which comes back empty after `down`.
-    pub(crate) fn crash(self: &Arc<Self>, down: Duration) {
+    /// Crashes the engine; it restarts with an empty cache after `downtime`.
+    pub(crate) fn crash(self: &Arc<Self>, downtime: Duration) {
         let Some(server) = lock(&self.server).take() else { return };
         let address = server.address();
         self.config.ground_truth.count_crash();
-        self.reset();
+        self.start_incarnation();
         let shared = Arc::clone(self);
         let restart = async move {
             server.stop().await;
-            smol::Timer::after(down).await;
+            smol::Timer::after(downtime).await;
             match HttpServer::restart(address, handler(&shared)).await {
-                Ok(server) => shared.come_back(server),
+                Ok(server) => shared.finish_restart(server),
                 Err(error) => log::error!("event=engine_restart_failed error=\"{error:#}\""),
             }
         };
         runtime::spawn(restart).detach();
     }
 
-    /// Crashes the engine if `prompt` holds the poison marker.
+    /// Crashes the engine if `prompt` contains the poison marker.
     pub(crate) fn crash_if_poisoned(self: &Arc<Self>, prompt: &str) {
         let marker = self.config.poison_marker.as_deref();
         if marker.is_some_and(|marker| prompt.contains(marker)) {
-            self.crash(RESTART_DELAY);
+            self.crash(POISON_DOWNTIME);
         }
     }
 
-    /// Returns the one-way delay from the caller's zone, or `None` if the link is cut.
+    /// Returns the one-way delay from the caller's availability zone, or `None` if the link is cut.
     pub(crate) fn link_delay(&self, request: &Request<Bytes>) -> Option<Duration> {
         let header = |name: &str| request.headers().get(name).and_then(|text| text.to_str().ok());
         let Some(caller_zone) = header("x-caller-zone") else { return Some(Duration::ZERO) };
@@ -136,14 +140,14 @@
         Some(self.config.zone_delays.delay(caller_zone, zone, message))
     }
 
-    /// Returns the time between two frames of a request.
+    /// Returns the time between two frames of one stream.
     pub(crate) fn frame_interval(&self) -> Duration {
         let seconds =
             f64::from(self.config.tokens_per_frame) / f64::from(self.config.decode_tokens_per_s);
         Duration::from_secs_f64(seconds * lock(&self.state).faults.slow_factor)
     }
 
-    /// Applies `order` and starts the loads that it asks for.
+    /// Applies `order` and starts to load the models that are missing.
     pub(crate) fn apply_order(self: &Arc<Self>, order: &Order) -> OrderOutcome {
         let mut state = lock(&self.state);
         let incarnation = state.incarnation;
@@ -151,12 +155,12 @@
         drop(state);
         let OrderOutcome::Accepted(models) = &outcome else { return outcome };
         for model in models.clone() {
-            runtime::spawn(Arc::clone(self).load(model, incarnation)).detach();
+            runtime::spawn(Arc::clone(self).load_model(model, incarnation)).detach();
         }
         outcome
     }
 
-    async fn load(self: Arc<Self>, model: ServedModel, incarnation: u64) {
+    async fn load_model(self: Arc<Self>, model: ServedModel, incarnation: u64) {
         if let Some(transfers) = &self.config.weight_store {
             transfers.transfer().await;
         }
@@ -166,9 +170,10 @@
         }
     }
 
-    fn reset(&self) {
+    /// Replaces the state by that of the next incarnation, which stays down until its server runs.
+    fn start_incarnation(&self) {
         let mut state = lock(&self.state);
-        let running = u32::try_from(state.batch.running()).unwrap_or(u32::MAX);
+        let running = u32::try_from(state.batch.running_requests()).unwrap_or(u32::MAX);
         let watts = self.config.idle_watts + running * self.config.request_watts;
         let faults = state.faults.clone();
         *state = EngineState::new(&self.config, state.incarnation + 1, faults);
@@ -177,7 +182,7 @@
         self.config.ground_truth.remove_watts(watts);
     }
 
-    fn come_back(&self, server: HttpServer) {
+    fn finish_restart(&self, server: HttpServer) {
         lock(&self.state).is_up = true;
         self.config.ground_truth.add_watts(self.config.idle_watts);
         *lock(&self.server) = Some(server);
@@ -185,30 +190,33 @@
 }
 
 fn handler(shared: &Arc<EngineShared>) -> Handler {
-    // A weak reference, since the shared state holds the server that holds the handler.
+    // A weak reference avoids a cycle: the shared state owns the server, which owns the handler.
     let shared = Arc::downgrade(shared);
     Arc::new(move |request| {
         let shared = shared.upgrade();
         Box::pin(async move {
-            let shared = shared.ok_or_else(|| anyhow::anyhow!("the engine is gone"))?;
+            let shared = shared.ok_or_else(|| anyhow::anyhow!("the engine has been dropped"))?;
             http::answer(shared, request).await
         })
     })
 }
 
-/// Publishes a report each half of the lag, of the state one half before.
+/// Publishes load reports until the engine is dropped.
+///
+/// Every half of the lag it publishes the report taken half a lag earlier, so that a published
+/// report is between half a lag and a full lag old.
 async fn publish_reports(shared: Weak<EngineShared>) {
     let mut previous: Option<LoadReport> = None;
     loop {
         let Some(engine) = shared.upgrade() else { return };
         let half_lag = {
             let mut state = lock(&engine.state);
-            let now = LoadReport::of(&state, engine.config.prefill_tokens_per_s);
-            let incarnation = now.incarnation;
-            if let Some(report) = previous.replace(now)
+            let current = LoadReport::new(&state, engine.config.prefill_tokens_per_s);
+            let incarnation = current.incarnation;
+            if let Some(report) = previous.replace(current)
                 && report.incarnation == incarnation
             {
-                state.published = report;
+                state.published_report = report;
             }
             Duration::from_millis(
                 (engine.config.load_lag_ms + state.faults.extra_load_lag_ms).max(2) / 2,
--- a/standins/src/engine/report.rs
+++ b/standins/src/engine/report.rs
@@ -5,42 +5,42 @@
 use super::shared::EngineState;
 use serde::Serialize;
 
-/// Load report in the form that callers see.
+/// Load report in the JSON format of the engine protocol.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct LoadReport {
-    /// Incarnation.
+    /// Incarnation of the engine.
     pub incarnation: u64,
-    /// Requests in the batch.
+    /// Number of running requests.
     pub running_requests: usize,
-    /// Requests waiting.
+    /// Number of waiting requests.
     pub waiting_requests: usize,
-    /// Prompt tokens waiting to be computed.
+    /// Prompt tokens that still have to be prefilled, without cached ones.
     pub waiting_prompt_tokens: u64,
-    /// Models loaded.
+    /// Models ready to serve.
     pub models: Vec<ReportedModel>,
     /// Models being loaded.
     pub loading: Vec<ReportedModel>,
     /// Whether the engine is leaving.
     pub leaving: bool,
-    /// Highest fencing number seen.
+    /// Highest fencing number of the orders applied.
     pub fencing_number: u64,
-    /// Sequence number that the next cache event will get.
+    /// Sequence number of the next cache event.
     pub next_event: u64,
 }
 
-/// Model in a report.
+/// Model in a load report.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize)]
 pub struct ReportedModel {
-    /// Model.
+    /// Model name.
     pub model: String,
-    /// Version of its weights.
+    /// Version of the weights.
     pub weights_version: String,
-    /// Adapters beside it.
+    /// Adapters loaded for the model; always empty.
     pub adapters: Vec<String>,
 }
 
 impl LoadReport {
-    /// Returns the report of an engine without work.
+    /// Returns the report of an engine without requests.
     pub fn idle(incarnation: u64, models: &Models) -> Self {
         Self {
             incarnation,
@@ -55,15 +55,16 @@
         }
     }
 
-    pub(crate) fn of(state: &EngineState, prefill_tokens_per_s: u32) -> Self {
+    /// Returns the report of the current state.
+    pub(crate) fn new(state: &EngineState, prefill_tokens_per_s: u32) -> Self {
         let idle = Self::idle(state.incarnation, &state.models);
         let next_event = state.events.next_sequence();
         let leaving = state.faults.leaving;
-        if state.faults.false_load {
+        if state.faults.reports_idle {
             return Self { next_event, leaving, ..idle };
         }
         Self {
-            running_requests: state.batch.running(),
+            running_requests: state.batch.running_requests(),
             waiting_requests: state.batch.waiting_requests(),
             waiting_prompt_tokens: state.waiting_prompt_tokens(prefill_tokens_per_s),
             next_event,
--- a/standins/src/engine/request.rs
+++ b/standins/src/engine/request.rs
@@ -1,4 +1,4 @@
-//! Requests for generation, parsed from HTTP.
+//! Generation requests, parsed from HTTP.
 
 use super::answer::DEFAULT_COMPLETION_TOKENS;
 use super::cache::PrefixLevel;
@@ -9,7 +9,7 @@
 use serde_json::Value;
 use std::time::Duration;
 
-/// Form of the endpoint that was called.
+/// Endpoint for generation.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Endpoint {
     /// `/v1/chat/completions`.
@@ -18,45 +18,50 @@
     Completion,
 }
 
-/// Request for generation.
+/// Generation request.
 #[derive(Clone, Debug)]
 pub struct GenerateRequest {
-    /// Endpoint.
+    /// Endpoint that was called.
     pub endpoint: Endpoint,
-    /// Id that each frame echoes.
+    /// Request ID, echoed in each frame.
     pub id: String,
-    /// Model.
+    /// Model name.
     pub model: String,
-    /// Weights that the request must run on, if it names any.
+    /// Required version of the weights, if the request names one.
     pub weights_version: Option<String>,
-    /// Prompt.
+    /// Prompt text.
     pub prompt: String,
-    /// Salt of the cache, empty if the request names none.
+    /// Salt of the block hashes, empty without cache isolation.
     pub cache_salt: String,
     /// Tokens to generate.
     pub completion_tokens: u32,
-    /// Priority, higher first.
+    /// Priority: 0 is batch, 1 normal, 2 interactive.
     pub priority: u8,
-    /// Number of the first frame wanted.
+    /// Number of the first frame to send.
     pub resume_from_frame: u64,
-    /// Levels of the prompt, outermost first.
+    /// Prefix levels of the prompt, shortest first.
     pub levels: Vec<PrefixLevel>,
-    /// Keys to import from the KV store.
+    /// Prefix keys that may be imported from the KV store.
     pub import_keys: Vec<u64>,
-    /// Longest time that the request may take, if it names one.
+    /// Maximum time until the end of the stream, if the request names one.
     pub time_limit: Option<Duration>,
 }
 
 impl GenerateRequest {
     /// Parses a request to `endpoint`.
+    ///
+    /// # Errors
+    ///
+    /// Returns an error if the body is not a streaming request with a model and a prompt.
     pub fn parse(endpoint: Endpoint, request: &Request<Bytes>) -> anyhow::Result<Self> {
         let body: Value = serde_json::from_slice(request.body()).context("body is not JSON")?;
-        let streams = body.get("stream").and_then(Value::as_bool).unwrap_or(false);
-        ensure!(streams, "the engine answers streams alone");
+        let is_streaming = body.get("stream").and_then(Value::as_bool).unwrap_or(false);
+        ensure!(is_streaming, "the engine answers streams alone");
         let prompt = prompt::from_body(&body).context("the body has no prompt")?;
         let model = body.get("model").and_then(Value::as_str).context("the body has no model")?;
-        let limit = body.get("max_tokens").or_else(|| body.get("max_completion_tokens"));
-        let limit = limit.and_then(Value::as_u64).and_then(|limit| u32::try_from(limit).ok());
+        let max_tokens = body.get("max_tokens").or_else(|| body.get("max_completion_tokens"));
+        let max_tokens =
+            max_tokens.and_then(Value::as_u64).and_then(|tokens| u32::try_from(tokens).ok());
         let salt = body.get("cache_salt").and_then(Value::as_str).unwrap_or_default();
         let header = |name: &str| request.headers().get(name).and_then(|text| text.to_str().ok());
         Ok(Self {
@@ -65,22 +70,22 @@
             model: model.to_owned(),
             weights_version: header("x-weights-version").map(str::to_owned),
             cache_salt: salt.to_owned(),
-            completion_tokens: limit.unwrap_or(DEFAULT_COMPLETION_TOKENS).max(1),
-            priority: priority(header("x-priority").unwrap_or_default()),
-            resume_from_frame: number(header("x-resume-from-frame")).unwrap_or(0),
+            completion_tokens: max_tokens.unwrap_or(DEFAULT_COMPLETION_TOKENS).max(1),
+            priority: parse_priority(header("x-priority").unwrap_or_default()),
+            resume_from_frame: parse_number(header("x-resume-from-frame")).unwrap_or(0),
             levels: parse_levels(header("x-prefix-keys").unwrap_or_default()),
             import_keys: parse_keys(header("x-import-keys").unwrap_or_default()),
-            time_limit: number(header("x-time-limit-ms")).map(Duration::from_millis),
+            time_limit: parse_number(header("x-time-limit-ms")).map(Duration::from_millis),
             prompt,
         })
     }
 }
 
-fn number(text: Option<&str>) -> Option<u64> {
+fn parse_number(text: Option<&str>) -> Option<u64> {
     text.and_then(|text| text.parse().ok())
 }
 
-fn priority(name: &str) -> u8 {
+fn parse_priority(name: &str) -> u8 {
     match name {
         "batch" => 0,
         "interactive" => 2,
--- a/standins/src/engine/shared.rs
+++ b/standins/src/engine/shared.rs
@@ -1,6 +1,6 @@
-//! State of an engine, shared by its requests, its reports and the fault switches.
+//! State of an engine, shared by its requests, its load reports and the fault switches.
 
-use super::batch::{Batch, Place, Waiting};
+use super::batch::{Batch, QueuePosition, WaitingRequest};
 use super::cache::BlockCache;
 use super::config::{EngineConfig, ServedModel};
 use super::events::EventLog;
@@ -20,15 +20,15 @@
 /// Faults of an engine that can be switched on while it runs.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EngineFaults {
-    /// Factor on the time of prefill and decode; 1 is healthy.
+    /// Factor on the duration of prefill and decode; 1 without a fault.
     pub slow_factor: f64,
-    /// Whether the load report says that the engine is idle whatever it does.
-    pub false_load: bool,
-    /// Share of cache events that are lost, from 0 to 1, over the configured one.
+    /// Whether the load report shows an idle engine regardless of its load.
+    pub reports_idle: bool,
+    /// Fraction of cache events that are lost, from 0 to 1, if higher than the configured one.
     pub event_loss_fraction: f64,
-    /// Milliseconds added to the lag of the load report.
+    /// Milliseconds added to the age of the load report.
     pub extra_load_lag_ms: u64,
-    /// Whether the engine says that it is leaving.
+    /// Whether the load report shows the engine as leaving.
     pub leaving: bool,
 }
 
@@ -36,7 +36,7 @@
     fn default() -> Self {
         Self {
             slow_factor: 1.0,
-            false_load: false,
+            reports_idle: false,
             event_loss_fraction: 0.0,
             extra_load_lag_ms: 0,
             leaving: false,
@@ -44,7 +44,7 @@
     }
 }
 
-/// Engine as seen by its tasks.
+/// Settings, state and server of an engine, shared by its tasks.
 pub struct EngineShared {
     pub(crate) config: EngineConfig,
     pub(crate) state: Mutex<EngineState>,
@@ -59,10 +59,12 @@
     pub cache: BlockCache,
     pub events: EventLog,
     pub models: Models,
+    /// Cancellation channels by request ID.
     pub cancels: HashMap<String, Sender<()>>,
-    pub published: LoadReport,
+    /// Load report shown to callers.
+    pub published_report: LoadReport,
     pub faults: EngineFaults,
-    pub random: fastrand::Rng,
+    pub rng: fastrand::Rng,
 }
 
 /// Why a request is refused before it runs.
@@ -73,14 +75,17 @@
     ModelNotLoaded,
 }
 
-/// Place of an accepted request; dropping it ends the request wherever it is.
-pub(crate) struct Ticket {
+/// Accepted request; dropping the guard removes it, whether it is waiting or running.
+pub(crate) struct RequestGuard {
     shared: Arc<EngineShared>,
     incarnation: u64,
-    place: Place,
+    position: QueuePosition,
     id: String,
+    /// Receives a message when the prefill may start.
     pub started: Receiver<()>,
+    /// Receives a message when the request is cancelled.
     pub cancelled: Receiver<()>,
+    /// Block hashes of the prompt.
     pub blocks: Vec<u64>,
 }
 
@@ -93,42 +98,42 @@
             batch: Batch::new(config.max_running_requests, config.max_waiting_requests),
             cache: BlockCache::new(config.cache_blocks),
             events: EventLog::default(),
-            published: LoadReport::idle(incarnation, &models),
+            published_report: LoadReport::idle(incarnation, &models),
             models,
             cancels: HashMap::new(),
             faults,
-            random: fastrand::Rng::with_seed(incarnation),
+            rng: fastrand::Rng::with_seed(incarnation),
         }
     }
 
-    /// Returns the prompt tokens that wait to be computed: what is left of the prefill under way,
-    /// and of the waiting prompts what is not cached.
+    /// Returns the prompt tokens that still have to be prefilled: the remainder of the current
+    /// prefill and the uncached tokens of the waiting prompts.
     pub fn waiting_prompt_tokens(&self, prefill_tokens_per_s: u32) -> u64 {
-        let left = self
+        let remaining = self
             .batch
             .prefill_ends_at()
             .map_or(Duration::ZERO, |ends_at| ends_at.saturating_duration_since(Instant::now()));
-        let left_tokens = left.as_secs_f64() * f64::from(prefill_tokens_per_s);
-        let missed = |waiting: &Waiting| {
+        let remaining_tokens = remaining.as_secs_f64() * f64::from(prefill_tokens_per_s);
+        let uncached_tokens = |waiting: &WaitingRequest| {
             let cached = block_tokens(self.cache.cached_blocks(&waiting.blocks));
             u64::from(waiting.prompt_tokens.saturating_sub(cached))
         };
-        left_tokens as u64 + self.batch.waiting().map(missed).sum::<u64>()
+        remaining_tokens as u64 + self.batch.waiting().map(uncached_tokens).sum::<u64>()
     }
 
-    /// Records the changes of named levels that storing `blocks` makes.
-    fn store(&mut self, config: &EngineConfig, blocks: &[u64], request: &GenerateRequest) {
-        let shown_at = Instant::now() + Duration::from_millis(config.event_delay_ms);
+    /// Caches `blocks` and records the resulting changes of prefix levels as cache events.
+    fn cache_blocks(&mut self, config: &EngineConfig, blocks: &[u64], request: &GenerateRequest) {
+        let visible_at = Instant::now() + Duration::from_millis(config.event_delay_ms);
         let loss = config.event_loss_fraction.max(self.faults.event_loss_fraction);
         for change in self.cache.store(blocks, &request.levels) {
-            let lost = self.random.f64() < loss;
-            self.events.record(change, shown_at, lost);
+            let lost = self.rng.f64() < loss;
+            self.events.record(change, visible_at, lost);
         }
     }
 }
 
 impl EngineShared {
-    /// Returns how many tokens of a prompt with these blocks the engine holds, 0 if it is down.
+    /// Returns the cached tokens of a prompt with these block hashes, 0 if the engine is down.
     pub(crate) fn cached_tokens(&self, blocks: &[u64]) -> u32 {
         let state = lock(&self.state);
         if !state.is_up {
@@ -137,8 +142,11 @@
         block_tokens(state.cache.cached_blocks(blocks))
     }
 
-    /// Accepts `request` into the queue.
-    pub(crate) fn accept(self: &Arc<Self>, request: &GenerateRequest) -> Result<Ticket, Refusal> {
+    /// Adds `request` to the queue, then starts the next waiting request if the engine is free.
+    pub(crate) fn enqueue(
+        self: &Arc<Self>,
+        request: &GenerateRequest,
+    ) -> Result<RequestGuard, Refusal> {
         let mut state = lock(&self.state);
         let version = served_version(&state.models.loaded, request)?;
         let blocks = super::prompt::block_hashes(
@@ -148,30 +156,30 @@
             &request.prompt,
         );
         let (start, started) = async_channel::bounded(1);
-        let waiting = Waiting {
+        let waiting = WaitingRequest {
             start,
             blocks: blocks.clone(),
             prompt_tokens: super::prompt::tokens(request.prompt.len()),
             decode_s: f64::from(request.completion_tokens)
                 / f64::from(self.config.decode_tokens_per_s),
         };
-        let place = state.batch.add(request.priority, waiting).ok_or(Refusal::QueueFull)?;
+        let position = state.batch.enqueue(request.priority, waiting).ok_or(Refusal::QueueFull)?;
         let (cancel, cancelled) = async_channel::bounded(1);
         state.cancels.insert(request.id.clone(), cancel);
-        let ticket = Ticket {
+        let guard = RequestGuard {
             shared: Arc::clone(self),
             incarnation: state.incarnation,
-            place,
+            position,
             id: request.id.clone(),
             started,
             cancelled,
             blocks,
         };
         self.start_next(&mut state);
-        Ok(ticket)
+        Ok(guard)
     }
 
-    /// Starts waiting requests as far as the engine is free for them.
+    /// Starts the next waiting request if the engine is free.
     fn start_next(&self, state: &mut EngineState) {
         if state.batch.start_next(Instant::now()) {
             self.config.ground_truth.add_watts(self.config.request_watts);
@@ -179,27 +187,27 @@
     }
 }
 
-impl Ticket {
-    /// Begins the prefill and returns when it ends.
-    pub fn begin_prefill(&self, request: &GenerateRequest) -> (Instant, PrefillRecord) {
+impl RequestGuard {
+    /// Starts the prefill; returns when it ends and where the prompt tokens came from.
+    pub fn start_prefill(&self, request: &GenerateRequest) -> (Instant, PrefillRecord) {
         let config = &self.shared.config;
         let prompt_tokens = super::prompt::tokens(request.prompt.len());
         let mut state = lock(&self.shared.state);
-        // One token at least is computed, so that there is something to generate from.
-        let computed_limit = prompt_tokens.saturating_sub(1);
-        let cached = block_tokens(state.cache.cached_blocks(&self.blocks)).min(computed_limit);
-        let kept = kept_tokens(config, request).min(computed_limit);
-        let imported = kept.saturating_sub(cached);
+        // At least one prompt token is prefilled, since decoding starts from its output.
+        let max_reused = prompt_tokens.saturating_sub(1);
+        let cached = block_tokens(state.cache.cached_blocks(&self.blocks)).min(max_reused);
+        let stored = stored_tokens(config, request).min(max_reused);
+        let imported = stored.saturating_sub(cached);
         let resumed = u32::try_from(request.resume_from_frame).unwrap_or(u32::MAX);
         let resumed = resumed.saturating_mul(config.tokens_per_frame);
-        let missed = prompt_tokens - cached - imported + resumed;
-        let prefill_s = f64::from(missed) / f64::from(config.prefill_tokens_per_s)
+        let uncached = prompt_tokens - cached - imported + resumed;
+        let prefill_s = f64::from(uncached) / f64::from(config.prefill_tokens_per_s)
             + f64::from(imported) / f64::from(config.import_tokens_per_s);
         let decode_s = f64::from(request.completion_tokens) / f64::from(config.decode_tokens_per_s);
         let slow_factor = state.faults.slow_factor;
         let ends_at = Instant::now() + Duration::from_secs_f64(prefill_s * slow_factor);
         let decode_ends_at = ends_at + Duration::from_secs_f64(decode_s * slow_factor);
-        state.batch.set_ends(self.place, ends_at, decode_ends_at);
+        state.batch.set_end_times(self.position, ends_at, decode_ends_at);
         let record = PrefillRecord {
             prompt_tokens: u64::from(prompt_tokens),
             cached_tokens: u64::from(cached),
@@ -209,64 +217,68 @@
         (ends_at, record)
     }
 
-    /// Ends the prefill: the prompt is cached and the next prefill starts.
+    /// Ends the prefill: caches the prompt, exports it and starts the next waiting request.
     pub fn end_prefill(&self, request: &GenerateRequest) {
         let mut state = lock(&self.shared.state);
         if state.incarnation != self.incarnation {
             return;
         }
-        state.store(&self.shared.config, &self.blocks, request);
-        state.batch.end_prefill(self.place);
+        state.cache_blocks(&self.shared.config, &self.blocks, request);
+        state.batch.end_prefill(self.position);
         self.shared.start_next(&mut state);
         drop(state);
-        export(&self.shared.config, request);
+        export_levels(&self.shared.config, request);
     }
 }
 
-impl Drop for Ticket {
+impl Drop for RequestGuard {
     fn drop(&mut self) {
         let mut state = lock(&self.shared.state);
         if state.incarnation != self.incarnation {
             return;
         }
         state.cancels.remove(&self.id);
-        if state.batch.remove(self.place) {
+        if state.batch.remove(self.position) {
             self.shared.config.ground_truth.remove_watts(self.shared.config.request_watts);
         }
         self.shared.start_next(&mut state);
     }
 }
 
+/// Returns the loaded version of the requested model, the required one if the request names it.
 fn served_version(loaded: &[ServedModel], request: &GenerateRequest) -> Result<String, Refusal> {
     let mut versions = loaded.iter().filter(|served| served.model == request.model).peekable();
     if versions.peek().is_none() {
         return Err(Refusal::ModelNotLoaded);
     }
-    let wanted = request.weights_version.as_ref();
+    let required = request.weights_version.as_ref();
     let version =
-        versions.find(|served| wanted.is_none_or(|wanted| *wanted == served.weights_version));
+        versions.find(|served| required.is_none_or(|required| *required == served.weights_version));
     version.map(|served| served.weights_version.clone()).ok_or(Refusal::WeightsVersion)
 }
 
-/// Returns the tokens of the longest prefix that the request imports from the KV store.
-fn kept_tokens(config: &EngineConfig, request: &GenerateRequest) -> u32 {
+/// Returns the tokens of the longest prefix that the request can import from the KV store.
+fn stored_tokens(config: &EngineConfig, request: &GenerateRequest) -> u32 {
     let Some(kv_store) = &config.kv_store else { return 0 };
-    let imported = request.levels.iter().filter(|level| request.import_keys.contains(&level.key));
-    imported
+    let importable = request.levels.iter().filter(|level| request.import_keys.contains(&level.key));
+    importable
         .map(|level| kv_store.tokens(level.key).min(block_tokens(level.blocks)))
         .max()
         .unwrap_or(0)
 }
 
-/// Keeps the levels of a computed prompt in the KV store, all but the last, which is its own.
-fn export(config: &EngineConfig, request: &GenerateRequest) {
+/// Stores the prefix levels of a prefilled prompt in the KV store.
+///
+/// The last level covers the whole prompt, which no other request shares, and is left out.
+fn export_levels(config: &EngineConfig, request: &GenerateRequest) {
     let Some(kv_store) = &config.kv_store else { return };
     let shared_levels = request.levels.len().saturating_sub(1);
     for level in &request.levels[..shared_levels] {
-        kv_store.keep(level.key, block_tokens(level.blocks));
+        kv_store.store(level.key, block_tokens(level.blocks));
     }
 }
 
+/// Returns the number of tokens in `blocks` blocks.
 pub(crate) fn block_tokens(blocks: usize) -> u32 {
     u32::try_from(blocks).unwrap_or(u32::MAX).saturating_mul(BLOCK_TOKENS)
 }
--- a/standins/src/ground_truth.rs
+++ b/standins/src/ground_truth.rs
@@ -1,4 +1,4 @@
-//! True figures of a site, kept by the stand-ins beside anything they report.
+//! Counters of what really happened in a site, independent of what the stand-ins report.
 
 use crate::engine::EngineShared;
 use crate::runtime::lock;
@@ -6,11 +6,11 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Arc, Mutex, Weak};
 
-/// Ledger shared by the stand-ins of one site.
+/// Counters shared by the stand-ins of one site.
 #[derive(Default)]
 pub struct GroundTruth {
-    watts: Mutex<Watts>,
-    runs: Mutex<BTreeMap<String, u32>>,
+    power_draw: Mutex<PowerDraw>,
+    service_runs: Mutex<BTreeMap<String, u32>>,
     engines: Mutex<Vec<Weak<EngineShared>>>,
     prompt_tokens: AtomicU64,
     cached_tokens: AtomicU64,
@@ -19,26 +19,27 @@
     engine_crashes: AtomicU64,
 }
 
+/// Power draw of all engines.
 #[derive(Clone, Copy, Default)]
-struct Watts {
-    drawn: u64,
-    peak: u64,
+struct PowerDraw {
+    current_watts: u64,
+    peak_watts: u64,
 }
 
-/// Prompt tokens over all engines since the last reset.
+/// Prompt tokens of all engines since the start.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct PromptTotals {
-    /// Tokens of all prompts that were computed.
+    /// Tokens of all prefilled prompts.
     pub prompt_tokens: u64,
-    /// Tokens found in the cache of the engine.
+    /// Tokens cached by the engine that ran the request.
     pub cached_tokens: u64,
     /// Tokens imported from the KV store.
     pub imported_tokens: u64,
-    /// Tokens computed though another live engine held them.
+    /// Tokens recomputed although another running engine had them cached.
     pub wasted_tokens: u64,
 }
 
-/// What one prefill did.
+/// Prompt tokens of one prefill, by where they came from.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct PrefillRecord {
     pub prompt_tokens: u64,
@@ -53,33 +54,33 @@
         Arc::default()
     }
 
-    /// Returns the watts drawn now by all engines.
+    /// Returns the current power draw of all engines, in watts.
     pub fn drawn_watts(&self) -> u64 {
-        lock(&self.watts).drawn
+        lock(&self.power_draw).current_watts
     }
 
-    /// Returns the highest draw seen.
+    /// Returns the highest power draw since the last reset, in watts.
     pub fn peak_watts(&self) -> u64 {
-        lock(&self.watts).peak
+        lock(&self.power_draw).peak_watts
     }
 
-    /// Forgets the highest draw seen; from now on it is that of now.
+    /// Resets the peak power draw to the current draw.
     pub fn reset_peak_watts(&self) {
-        let mut watts = lock(&self.watts);
-        watts.peak = watts.drawn;
+        let mut draw = lock(&self.power_draw);
+        draw.peak_watts = draw.current_watts;
     }
 
-    /// Returns the number of crashes of all engines.
+    /// Returns the number of engine crashes.
     pub fn engine_crashes(&self) -> u64 {
         self.engine_crashes.load(Ordering::Relaxed)
     }
 
-    /// Returns the number of runs of each key over all plain services.
+    /// Returns the number of runs by idempotency key over all plain services.
     pub fn runs(&self) -> BTreeMap<String, u32> {
-        lock(&self.runs).clone()
+        lock(&self.service_runs).clone()
     }
 
-    /// Returns the totals of prompt tokens.
+    /// Returns the prompt token totals.
     pub fn prompt_totals(&self) -> PromptTotals {
         PromptTotals {
             prompt_tokens: self.prompt_tokens.load(Ordering::Relaxed),
@@ -90,14 +91,14 @@
     }
 
     pub(crate) fn add_watts(&self, watts: u32) {
-        let mut sum = lock(&self.watts);
-        sum.drawn += u64::from(watts);
-        sum.peak = sum.peak.max(sum.drawn);
+        let mut draw = lock(&self.power_draw);
+        draw.current_watts += u64::from(watts);
+        draw.peak_watts = draw.peak_watts.max(draw.current_watts);
     }
 
     pub(crate) fn remove_watts(&self, watts: u32) {
-        let mut sum = lock(&self.watts);
-        sum.drawn = sum.drawn.saturating_sub(u64::from(watts));
+        let mut draw = lock(&self.power_draw);
+        draw.current_watts = draw.current_watts.saturating_sub(u64::from(watts));
     }
 
     pub(crate) fn count_crash(&self) {
@@ -105,7 +106,7 @@
     }
 
     pub(crate) fn count_run(&self, key: &str) {
-        *lock(&self.runs).entry(key.to_owned()).or_default() += 1;
+        *lock(&self.service_runs).entry(key.to_owned()).or_default() += 1;
     }
 
     pub(crate) fn count_prefill(&self, record: PrefillRecord) {
@@ -119,7 +120,7 @@
         lock(&self.engines).push(engine);
     }
 
-    /// Returns the most tokens of a prompt that any live engine holds.
+    /// Returns the highest number of a prompt's tokens that any running engine has cached.
     pub(crate) fn max_cached_tokens(&self, blocks: &[u64]) -> u32 {
         let engines: Vec<_> = lock(&self.engines).iter().filter_map(Weak::upgrade).collect();
         engines.iter().map(|engine| engine.cached_tokens(blocks)).max().unwrap_or(0)
--- a/standins/src/http_server.rs
+++ b/standins/src/http_server.rs
@@ -1,4 +1,4 @@
-//! HTTP server on a loopback port, and the forms of answers that the stand-ins give.
+//! HTTP/1 server on a loopback port, and helpers to build responses.
 
 use crate::runtime;
 use anyhow::Context as _;
@@ -20,21 +20,21 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Largest number of times that a restarted server tries to bind its port again.
-const BIND_ATTEMPTS: u32 = 50;
-/// Pause between two such attempts.
-const BIND_PAUSE: Duration = Duration::from_millis(10);
+/// Maximum attempts of a restarted server to bind its previous port.
+const MAX_BIND_ATTEMPTS: u32 = 50;
+/// Pause between two attempts to bind.
+const BIND_RETRY_PAUSE: Duration = Duration::from_millis(10);
 
-/// Body of an answer.
+/// Response body.
 pub type Body = UnsyncBoxBody<Bytes, anyhow::Error>;
-/// Answer of a handler; an error closes the connection without an answer.
+/// Response of a handler; an error closes the connection without a response.
 pub type HandlerResult = anyhow::Result<Response<Body>>;
-/// Future of a handler's answer.
+/// Future returned by a [`Handler`].
 pub type HandlerFuture = Pin<Box<dyn Future<Output = HandlerResult> + Send>>;
-/// Function that answers requests whose bodies have been read.
+/// Request handler; the request body has been read in full.
 pub type Handler = Arc<dyn Fn(Request<Bytes>) -> HandlerFuture + Send + Sync>;
 
-/// Server that listens until it is stopped or dropped; its connections end with it.
+/// Running HTTP server; stopping or dropping it closes the listener and all connections.
 pub struct HttpServer {
     address: SocketAddr,
     task: Task<()>,
@@ -42,23 +42,31 @@
 
 impl HttpServer {
     /// Starts a server on a free loopback port.
+    ///
+    /// # Errors
+    ///
+    /// Returns an error if no port can be bound.
     pub fn start(handler: Handler) -> anyhow::Result<Self> {
         let listener = bind(SocketAddr::from((Ipv4Addr::LOCALHOST, 0)))?;
         Self::serve(listener, handler)
     }
 
-    /// Starts a server on the port that a stopped server has left.
+    /// Starts a server on the address of a stopped server, retrying while the port is still in use.
+    ///
+    /// # Errors
+    ///
+    /// Returns an error if the port stays in use.
     pub async fn restart(address: SocketAddr, handler: Handler) -> anyhow::Result<Self> {
-        for _ in 0..BIND_ATTEMPTS {
+        for _ in 0..MAX_BIND_ATTEMPTS {
             if let Ok(listener) = bind(address) {
                 return Self::serve(listener, handler);
             }
-            smol::Timer::after(BIND_PAUSE).await;
+            smol::Timer::after(BIND_RETRY_PAUSE).await;
         }
         Self::serve(bind(address)?, handler)
     }
 
-    /// Returns the address on which the server listens.
+    /// Returns the listening address.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
@@ -69,8 +77,8 @@
     }
 
     fn serve(listener: TcpListener, handler: Handler) -> anyhow::Result<Self> {
-        let address = listener.local_addr().context("address of a stand-in")?;
-        Ok(Self { address, task: runtime::spawn(accept(listener, handler)) })
+        let address = listener.local_addr().context("listening address of a stand-in")?;
+        Ok(Self { address, task: runtime::spawn(accept_connections(listener, handler)) })
     }
 }
 
@@ -80,21 +88,23 @@
     Ok(smol::Async::new(listener)?.into())
 }
 
-async fn accept(listener: TcpListener, handler: Handler) {
-    // The connections run on an executor of the server's own, which ends them when it is dropped.
+async fn accept_connections(listener: TcpListener, handler: Handler) {
+    // A local executor, so that cancelling this task drops all connections as well.
     let connections = Executor::new();
-    let accepting = async {
+    let accept_loop = async {
         loop {
             match listener.accept().await {
-                Ok((stream, _)) => connections.spawn(serve(stream, handler.clone())).detach(),
+                Ok((stream, _)) => {
+                    connections.spawn(serve_connection(stream, handler.clone())).detach();
+                }
                 Err(error) => log::debug!("event=accept_failed error=\"{error}\""),
             }
         }
     };
-    connections.run(accepting).await
+    connections.run(accept_loop).await
 }
 
-async fn serve(stream: TcpStream, handler: Handler) {
+async fn serve_connection(stream: TcpStream, handler: Handler) {
     let service = service_fn(move |request: Request<Incoming>| {
         let handler = handler.clone();
         async move {
@@ -115,12 +125,16 @@
     }
 }
 
-/// Returns a body that holds `bytes`.
+/// Returns a body with the content `bytes`.
 pub fn full_body(bytes: impl Into<Bytes>) -> Body {
     Full::new(bytes.into()).map_err(|never| match never {}).boxed_unsync()
 }
 
-/// Returns an answer in JSON.
+/// Returns a JSON response.
+///
+/// # Errors
+///
+/// Returns an error if `value` cannot be serialized.
 pub fn json_response(status: StatusCode, value: &impl Serialize) -> HandlerResult {
     let response = Response::builder()
         .status(status)
@@ -129,13 +143,17 @@
     Ok(response)
 }
 
-/// Returns a refusal in the form that all stand-ins use.
+/// Returns an error response in the JSON format common to all stand-ins.
+///
+/// # Errors
+///
+/// Returns an error if the response cannot be built.
 pub fn error_response(status: StatusCode, code: &str, message: &str) -> HandlerResult {
     let error = json!({"error": {"message": message, "type": "stand_in_error", "code": code}});
     json_response(status, &error)
 }
 
-/// Returns the value of `name` in the query of `request`, if it is a number.
+/// Returns the numeric query parameter `name` of `request`, if present and valid.
 pub fn query_number(request: &Request<Bytes>, name: &str) -> Option<u64> {
     let query = request.uri().query()?;
     let pairs = query.split('&').filter_map(|pair| pair.split_once('='));
--- a/standins/src/instance_list.rs
+++ b/standins/src/instance_list.rs
@@ -1,4 +1,4 @@
-//! Stand-in of the platform's instance list, which lags behind the truth.
+//! Stand-in for the platform's instance list, which shows changes only after a lag.
 
 use crate::http_server::{Handler, HandlerResult, HttpServer, error_response, json_response};
 use crate::runtime::lock;
@@ -14,7 +14,7 @@
 /// Settings of the instance list.
 #[derive(Clone, Debug)]
 pub struct InstanceListConfig {
-    /// Milliseconds after which a change shows.
+    /// Milliseconds until a change becomes visible.
     pub lag_ms: u64,
 }
 
@@ -24,16 +24,16 @@
     }
 }
 
-/// Instance on the list, in the form that callers see.
+/// Instance in the JSON format of the list.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Instance {
-    /// Name.
+    /// Instance name.
     pub name: String,
     /// `entry` or `backend_server`.
     pub kind: String,
-    /// Address.
+    /// Address of the instance.
     pub address: SocketAddr,
-    /// Availability zone.
+    /// Availability zone of the instance.
     pub availability_zone: String,
     /// `live` or `leaving`.
     pub state: String,
@@ -47,90 +47,99 @@
 
 struct Shared {
     lag: Duration,
-    list: Mutex<List>,
+    list: Mutex<InstanceList>,
 }
 
 #[derive(Default)]
-struct List {
-    shown: BTreeMap<String, Instance>,
-    pending: VecDeque<Change>,
+struct InstanceList {
+    visible: BTreeMap<String, Instance>,
+    pending: VecDeque<PendingChange>,
 }
 
-struct Change {
-    shown_at: Instant,
+/// Change that becomes visible at `visible_at`; without an instance it removes `name`.
+struct PendingChange {
+    visible_at: Instant,
     name: String,
     instance: Option<Instance>,
 }
 
 impl InstanceListStandIn {
-    /// Starts the list without instances.
+    /// Starts an empty list.
+    ///
+    /// # Errors
+    ///
+    /// Returns an error if no port can be bound.
     pub fn start(config: InstanceListConfig) -> anyhow::Result<Self> {
         let lag = Duration::from_millis(config.lag_ms);
         let shared = Arc::new(Shared { lag, list: Mutex::default() });
-        let answering = Arc::clone(&shared);
+        let served = Arc::clone(&shared);
         let handler: Handler = Arc::new(move |request| {
-            let shared = Arc::clone(&answering);
+            let shared = Arc::clone(&served);
             Box::pin(async move { answer(&shared, &request) })
         });
         Ok(Self { server: HttpServer::start(handler)?, shared })
     }
 
-    /// Returns the address of the list.
+    /// Returns the listening address.
     pub fn address(&self) -> SocketAddr {
         self.server.address()
     }
 
-    /// Registers `instance`, or changes it; the list shows it after its lag.
+    /// Adds or replaces `instance`; the change becomes visible after the lag.
     pub fn put(&self, instance: Instance) {
-        self.shared.change(instance.name.clone(), Some(instance));
+        self.shared.enqueue_change(instance.name.clone(), Some(instance));
     }
 
-    /// Registers `instance` so that the list shows it at once, as one that has long been there.
+    /// Adds or replaces `instance` without the lag.
     pub fn put_immediately(&self, instance: Instance) {
-        lock(&self.shared.list).shown.insert(instance.name.clone(), instance);
+        lock(&self.shared.list).visible.insert(instance.name.clone(), instance);
     }
 
-    /// Removes an instance; the list shows it until its lag has passed.
+    /// Removes the instance `name`; it stays visible until the lag has passed.
     pub fn remove(&self, name: &str) {
-        self.shared.change(name.to_owned(), None);
+        self.shared.enqueue_change(name.to_owned(), None);
     }
 }
 
 impl Shared {
-    fn change(&self, name: String, instance: Option<Instance>) {
-        let shown_at = Instant::now() + self.lag;
-        lock(&self.list).pending.push_back(Change { shown_at, name, instance });
+    fn enqueue_change(&self, name: String, instance: Option<Instance>) {
+        let visible_at = Instant::now() + self.lag;
+        lock(&self.list).pending.push_back(PendingChange { visible_at, name, instance });
     }
 
-    fn shown(&self, now: Instant) -> Vec<Instance> {
+    /// Applies the changes due at `now` and returns the visible instances.
+    fn visible_instances(&self, now: Instant) -> Vec<Instance> {
         let mut list = lock(&self.list);
-        while list.pending.front().is_some_and(|change| change.shown_at <= now) {
+        while list.pending.front().is_some_and(|change| change.visible_at <= now) {
             let Some(change) = list.pending.pop_front() else { break };
             match change.instance {
-                Some(instance) => list.shown.insert(change.name, instance),
-                None => list.shown.remove(&change.name),
+                Some(instance) => list.visible.insert(change.name, instance),
+                None => list.visible.remove(&change.name),
             };
         }
-        list.shown.values().cloned().collect()
+        list.visible.values().cloned().collect()
     }
 }
 
 fn answer(shared: &Shared, request: &Request<Bytes>) -> HandlerResult {
     let path = request.uri().path();
     if path == "/instances" && request.method() == Method::GET {
-        return json_response(StatusCode::OK, &json!({"instances": shared.shown(Instant::now())}));
+        return json_response(
+            StatusCode::OK,
+            &json!({"instances": shared.visible_instances(Instant::now())}),
+        );
     }
     let Some(name) = path.strip_prefix("/instances/") else {
         return error_response(StatusCode::NOT_FOUND, "not_found", "no such path");
     };
     match *request.method() {
         Method::PUT => match serde_json::from_slice::<Instance>(request.body()) {
-            Ok(instance) => shared.change(name.to_owned(), Some(instance)),
+            Ok(instance) => shared.enqueue_change(name.to_owned(), Some(instance)),
             Err(error) => {
                 return error_response(StatusCode::BAD_REQUEST, "body", &error.to_string());
             }
         },
-        Method::DELETE => shared.change(name.to_owned(), None),
+        Method::DELETE => shared.enqueue_change(name.to_owned(), None),
         _ => return error_response(StatusCode::METHOD_NOT_ALLOWED, "method", "PUT or DELETE"),
     }
     json_response(StatusCode::OK, &json!({}))
--- a/standins/src/lib.rs
+++ b/standins/src/lib.rs
@@ -1,7 +1,8 @@
-//! Small stand-ins for the platform and the backend servers, each on its own loopback port.
+//! In-process test doubles of the platform's services and the backend servers.
 //!
-//! They implement `docs/design/stand_in_protocols.md` without sharing types with the product, and
-//! run together on the few threads of [`runtime`].
+//! Each stand-in listens on its own loopback port and implements its protocol from
+//! `docs/design/stand_in_protocols.md` without sharing types with the product. All of them run on
+//! the threads of [`runtime`].
 
 pub mod engine;
 pub mod ground_truth;
--- a/standins/src/log_service.rs
+++ b/standins/src/log_service.rs
@@ -1,4 +1,4 @@
-//! Stand-in of the platform's append-only log.
+//! Stand-in for the platform's append-only log service.
 
 use crate::http_server::{
     Handler, HandlerResult, HttpServer, error_response, json_response, query_number,
@@ -16,15 +16,15 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-/// Largest number of records in one page.
-const PAGE_RECORDS: usize = 1_000;
+/// Maximum records in one page.
+const MAX_PAGE_RECORDS: usize = 1_000;
 
 /// Settings of the log service.
 #[derive(Clone, Debug)]
 pub struct LogServiceConfig {
-    /// Milliseconds for which records are kept.
+    /// Milliseconds after which a record expires.
     pub retention_ms: u64,
-    /// Milliseconds that an append or a read takes.
+    /// Latency of each call, in milliseconds.
     pub latency_ms: u64,
 }
 
@@ -37,11 +37,11 @@
 /// Faults that can be switched on while the service runs.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct LogFaults {
-    /// Every call is answered 503.
+    /// Whether every call is answered with status 503.
     pub outage: bool,
-    /// Appends take effect, then the connection closes without an answer.
+    /// Whether appends take effect but their connection closes without an answer.
     pub lose_append_answers: bool,
-    /// Milliseconds added to every call.
+    /// Milliseconds added to the latency of every call.
     pub extra_latency_ms: u64,
 }
 
@@ -85,26 +85,30 @@
 
 impl LogServiceStandIn {
     /// Starts the service with empty streams.
+    ///
+    /// # Errors
+    ///
+    /// Returns an error if no port can be bound.
     pub fn start(config: LogServiceConfig) -> anyhow::Result<Self> {
         let shared =
             Arc::new(Shared { config, faults: Mutex::default(), streams: Mutex::default() });
-        let answering = Arc::clone(&shared);
+        let served = Arc::clone(&shared);
         let handler: Handler =
-            Arc::new(move |request| Box::pin(answer(Arc::clone(&answering), request)));
+            Arc::new(move |request| Box::pin(answer(Arc::clone(&served), request)));
         Ok(Self { server: HttpServer::start(handler)?, shared })
     }
 
-    /// Returns the address of the service.
+    /// Returns the listening address.
     pub fn address(&self) -> SocketAddr {
         self.server.address()
     }
 
-    /// Sets the faults from now on.
+    /// Replaces the active faults.
     pub fn set_faults(&self, faults: LogFaults) {
         *lock(&self.shared.faults) = faults;
     }
 
-    /// Appends a record as an operator's tool would, past all faults.
+    /// Appends a record to `stream`, bypassing all faults, and returns its offset.
     pub fn append(&self, stream: &str, payload: impl Into<Bytes>) -> u64 {
         self.shared.append(stream, payload.into())
     }
@@ -131,13 +135,14 @@
         stream.expire(Duration::from_millis(self.config.retention_ms));
         let next_offset = stream.last_offset + 1;
         let first_offset = stream.records.front().map_or(next_offset, |record| record.offset);
-        let skipped = usize::try_from(from.saturating_sub(first_offset)).unwrap_or(usize::MAX);
-        let records = stream.records.iter().skip(skipped).take(limit).map(RecordBody::from);
+        let skip = usize::try_from(from.saturating_sub(first_offset)).unwrap_or(usize::MAX);
+        let records = stream.records.iter().skip(skip).take(limit).map(RecordBody::from);
         PageBody { first_offset, next_offset, records: records.collect() }
     }
 }
 
 impl Stream {
+    /// Removes records older than `retention`.
     fn expire(&mut self, retention: Duration) {
         let now = SystemTime::now();
         while let Some(record) = self.records.front() {
@@ -186,8 +191,8 @@
         }
         Method::GET => {
             let from = query_number(&request, "from").unwrap_or(1);
-            let limit = query_number(&request, "limit").map_or(PAGE_RECORDS, |limit| {
-                usize::try_from(limit).unwrap_or(PAGE_RECORDS).min(PAGE_RECORDS)
+            let limit = query_number(&request, "limit").map_or(MAX_PAGE_RECORDS, |limit| {
+                usize::try_from(limit).unwrap_or(MAX_PAGE_RECORDS).min(MAX_PAGE_RECORDS)
             });
             json_response(StatusCode::OK, &shared.read(&stream, from, limit))
         }
--- a/standins/src/plain_service.rs
+++ b/standins/src/plain_service.rs
@@ -1,4 +1,4 @@
-//! Stand-in of a plain service, which counts its runs by idempotency key.
+//! Stand-in for a plain HTTP service, which counts its runs by idempotency key.
 
 use crate::ground_truth::GroundTruth;
 use crate::http_server::{Handler, HandlerResult, HttpServer, json_response};
@@ -12,24 +12,24 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-/// Path that shows the runs.
+/// Path that lists the runs by key.
 const RUNS_PATH: &str = "/_runs";
 
 /// Settings of a plain service.
 #[derive(Clone, Default)]
 pub struct PlainServiceConfig {
-    /// Name that answers carry.
+    /// Service name, returned in each answer.
     pub name: String,
-    /// Milliseconds that a call takes.
+    /// Latency of each call, in milliseconds.
     pub latency_ms: u64,
-    /// Ledger of the site, if the service belongs to one.
+    /// Counters of the site, if the service belongs to one.
     pub ground_truth: Option<Arc<GroundTruth>>,
 }
 
 /// Faults that can be switched on while the service runs.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct PlainServiceFaults {
-    /// Calls take effect, then the connection closes without an answer.
+    /// Whether calls take effect but their connection closes without an answer.
     pub lose_answers: bool,
 }
 
@@ -46,33 +46,38 @@
 }
 
 impl PlainServiceStandIn {
-    /// Starts the service without runs.
+    /// Starts the service with no runs counted.
+    ///
+    /// # Errors
+    ///
+    /// Returns an error if no port can be bound.
     pub fn start(config: PlainServiceConfig) -> anyhow::Result<Self> {
         let shared = Arc::new(Shared { config, faults: Mutex::default(), runs: Mutex::default() });
-        let answering = Arc::clone(&shared);
+        let served = Arc::clone(&shared);
         let handler: Handler =
-            Arc::new(move |request| Box::pin(answer(Arc::clone(&answering), request)));
+            Arc::new(move |request| Box::pin(answer(Arc::clone(&served), request)));
         Ok(Self { server: HttpServer::start(handler)?, shared })
     }
 
-    /// Returns the address of the service.
+    /// Returns the listening address.
     pub fn address(&self) -> SocketAddr {
         self.server.address()
     }
 
-    /// Sets the faults from now on.
+    /// Replaces the active faults.
     pub fn set_faults(&self, faults: PlainServiceFaults) {
         *lock(&self.shared.faults) = faults;
     }
 
-    /// Returns the number of runs of each key.
+    /// Returns the number of runs by idempotency key.
     pub fn runs(&self) -> BTreeMap<String, u32> {
         lock(&self.shared.runs).clone()
     }
 }
 
 impl Shared {
-    fn run(&self, key: &str) -> u32 {
+    /// Counts a run of `key` and returns the runs of it so far.
+    fn count_run(&self, key: &str) -> u32 {
         if let Some(ground_truth) = &self.config.ground_truth {
             ground_truth.count_run(key);
         }
@@ -91,8 +96,8 @@
         return json_response(StatusCode::OK, &json!({ "runs": runs }));
     }
     let key = header_text(request.headers(), "idempotency-key");
-    // The call takes effect before its answer is under way.
-    let runs = if key.is_empty() { 1 } else { shared.run(&key) };
+    // The run is counted first, so that a call whose caller disconnects still counts.
+    let runs = if key.is_empty() { 1 } else { shared.count_run(&key) };
     smol::Timer::after(Duration::from_millis(shared.config.latency_ms)).await;
     if lock(&shared.faults).lose_answers {
         bail!("answer of the call with key `{key}` is lost");
--- a/standins/src/runtime.rs
+++ b/standins/src/runtime.rs
@@ -1,23 +1,23 @@
-//! Executor shared by all stand-ins of a process.
+//! Async executor shared by all stand-ins of a process.
 
 use smol::{Executor, Task};
 use std::future::{Future, pending};
 use std::sync::{Mutex, MutexGuard, Once, PoisonError};
 use std::thread;
 
-/// Threads that run all stand-ins of a process.
+/// Number of executor threads.
 const THREADS: usize = 3;
 
 static EXECUTOR: Executor<'static> = Executor::new();
 static START: Once = Once::new();
 
-/// Runs `future` on the shared threads; dropping the task cancels it.
+/// Spawns `future` on the shared executor; dropping the returned task cancels it.
 pub fn spawn<T: Send + 'static>(future: impl Future<Output = T> + Send + 'static) -> Task<T> {
     START.call_once(start_threads);
     EXECUTOR.spawn(future)
 }
 
-/// Locks `mutex`, also after a panic of another holder.
+/// Locks `mutex`, ignoring poisoning.
 pub(crate) fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
@@ -27,6 +27,6 @@
         thread::Builder::new()
             .name(format!("stand-in-{index}"))
             .spawn(|| smol::block_on(EXECUTOR.run(pending::<()>())))
-            .expect("a thread can be started");
+            .expect("spawning an executor thread succeeds");
     }
 }
--- a/standins/src/zones.rs
+++ b/standins/src/zones.rs
@@ -1,4 +1,4 @@
-//! One-way delays of the links between availability zones.
+//! Simulated network between availability zones: one-way delays, loss and partitions.
 
 use crate::runtime::lock;
 use std::collections::{BTreeMap, BTreeSet};
@@ -6,14 +6,14 @@
 use std::time::Duration;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// One in so many messages between zones is lost and sent again.
+/// One message in this many between zones is lost and retransmitted.
 const LOSS_ONE_IN: u64 = 100;
-/// Factor on the delay of a message that was sent again.
-const RESENT_FACTOR: u32 = 4;
-/// Largest addition by jitter, in percent of the delay.
-const JITTER_PERCENT: u64 = 25;
+/// Factor on the delay of a retransmitted message.
+const RETRANSMIT_DELAY_FACTOR: u32 = 4;
+/// Upper bound of the jitter added to a delay, in percent of the delay.
+const MAX_JITTER_PERCENT: u64 = 25;
 
-/// Delays between availability zones, shared by the stand-ins of a site.
+/// Link delays and cuts between availability zones, shared by the stand-ins of a site.
 #[derive(Clone, Debug, Default)]
 pub struct ZoneDelays {
     links: Arc<BTreeMap<(String, String), Duration>>,
@@ -21,7 +21,7 @@
 }
 
 impl ZoneDelays {
-    /// Returns delays of `one_way` between any two different zones of `zones`.
+    /// Returns a one-way delay of `one_way` between any two different zones of `zones`.
     pub fn uniform(zones: &[&str], one_way: Duration) -> Self {
         let mut links = BTreeMap::new();
         for from in zones {
@@ -32,20 +32,22 @@
         Self { links: Arc::new(links), cut_zones: Arc::default() }
     }
 
-    /// Returns the delay of one message between two zones, with jitter drawn from `message`.
+    /// Returns the one-way delay of a message, with loss and jitter drawn from a hash of `message`.
+    ///
+    /// Zones without a configured link have no delay.
     pub fn delay(&self, from: &str, to: &str, message: &str) -> Duration {
         let Some(&delay) = self.links.get(&(from.to_owned(), to.to_owned())) else {
             return Duration::ZERO;
         };
-        let draw = xxh3_64(message.as_bytes());
-        if draw.is_multiple_of(LOSS_ONE_IN) {
-            return delay * RESENT_FACTOR;
+        let hash = xxh3_64(message.as_bytes());
+        if hash.is_multiple_of(LOSS_ONE_IN) {
+            return delay * RETRANSMIT_DELAY_FACTOR;
         }
-        let jitter_percent = (draw >> 32) % JITTER_PERCENT;
+        let jitter_percent = (hash >> 32) % MAX_JITTER_PERCENT;
         delay + delay.mul_f64(jitter_percent as f64 / 100.0)
     }
 
-    /// Cuts or restores all links between `zone` and the other zones.
+    /// Cuts all links between `zone` and the other zones, or restores them if `cut` is false.
     pub fn set_cut(&self, zone: &str, cut: bool) {
         let mut cut_zones = lock(&self.cut_zones);
         if cut {
@@ -55,7 +57,7 @@
         }
     }
 
-    /// Returns whether the link between two zones is cut.
+    /// Returns whether the link between two different zones is cut.
     pub fn is_cut(&self, from: &str, to: &str) -> bool {
         let cut_zones = lock(&self.cut_zones);
         from != to && (cut_zones.contains(from) || cut_zones.contains(to))
