--- a/tests/standins/cache.rs
+++ b/tests/standins/cache.rs
@@ -1,13 +1,13 @@
-//! Block cache against a naive twin that keeps its blocks in a list.
+//! Compares the block cache with a naive reference implementation that stores its blocks in a list.
 
 use coriandertide_standins::engine::cache::{BlockCache, LevelChange, PrefixLevel};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use std::collections::{BTreeMap, BTreeSet};
 
-const CAPACITY: usize = 12;
+const CAPACITY_BLOCKS: usize = 12;
 
-/// Twin: blocks from the least to the most recently used, and the keys named at each.
+/// Reference cache: blocks from least to most recently used, and level keys by their last block.
 #[derive(Default)]
 struct NaiveCache {
     blocks: Vec<u64>,
@@ -19,7 +19,7 @@
         let mut changes = Vec::new();
         for hash in hashes.iter().rev() {
             self.blocks.retain(|block| block != hash);
-            if self.blocks.len() == CAPACITY {
+            if self.blocks.len() == CAPACITY_BLOCKS {
                 let evicted = self.blocks.remove(0);
                 let keys = self.keys.remove(&evicted).unwrap_or_default();
                 changes.extend(keys.into_iter().map(|key| LevelChange::Evicted { key }));
@@ -36,7 +36,7 @@
     }
 }
 
-/// Chain of block hashes of document `document`, `blocks` long, with its levels.
+/// Returns `blocks` block hashes of a prompt that starts with `document`, and its prefix levels.
 fn prompt(document: u64, blocks: usize) -> (Vec<u64>, Vec<PrefixLevel>) {
     let hashes: Vec<u64> = (0..blocks as u64).map(|block| document * 100 + block).collect();
     let levels = [1, blocks / 2, blocks];
@@ -53,10 +53,10 @@
     })]
 
     #[test]
-    fn cache_agrees_with_its_naive_twin(
+    fn cache_matches_naive_implementation(
         prompts in prop::collection::vec((0_u64..6, 1_usize..16), 1..40),
     ) {
-        let mut cache = BlockCache::new(CAPACITY);
+        let mut cache = BlockCache::new(CAPACITY_BLOCKS);
         let mut naive = NaiveCache::default();
         for (document, blocks) in prompts {
             let (hashes, levels) = prompt(document, blocks);
--- a/tests/standins/client.rs
+++ b/tests/standins/client.rs
@@ -1,4 +1,4 @@
-//! Small HTTP client: one request on a connection of its own.
+//! Minimal HTTP client that opens a connection for each request.
 
 use bytes::Bytes;
 use http::{Method, Request, Response};
@@ -16,22 +16,22 @@
 
 impl Answer {
     pub fn json(&self) -> Value {
-        serde_json::from_slice(&self.body).expect("a body in JSON")
+        serde_json::from_slice(&self.body).expect("the body is JSON")
     }
 
-    /// Frame numbers and texts of a stream, and whether it is whole.
+    /// Returns the frame numbers and chunks of a stream, and whether its end mark was received.
     pub fn frames(&self) -> (Vec<(u64, Value)>, bool) {
-        let text = std::str::from_utf8(&self.body).expect("a stream of text");
+        let text = std::str::from_utf8(&self.body).expect("the stream is UTF-8");
         let mut frames = Vec::new();
         let mut number = 0;
         for line in text.lines() {
             if let Some(id) = line.strip_prefix("id: ") {
-                number = id.parse().expect("a frame number");
+                number = id.parse().expect("the event ID is a frame number");
             }
             match line.strip_prefix("data: ") {
                 Some("[DONE]") => return (frames, true),
                 Some(chunk) => {
-                    let chunk = serde_json::from_str(chunk).expect("a chunk in JSON");
+                    let chunk = serde_json::from_str(chunk).expect("the chunk is JSON");
                     frames.push((number, chunk));
                 }
                 None => {}
--- a/tests/standins/engine.rs
+++ b/tests/standins/engine.rs
@@ -1,4 +1,4 @@
-//! Engine: cached tokens, resume, refusals, crash and orders.
+//! Model engine: cached tokens, resumed streams, refusals, crashes and orders.
 
 use super::client::{self, Answer};
 use bytes::Bytes;
@@ -10,7 +10,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-fn fast() -> EngineConfig {
+fn fast_config() -> EngineConfig {
     EngineConfig {
         decode_tokens_per_s: 2_000,
         prefill_tokens_per_s: 200_000,
@@ -43,13 +43,13 @@
 }
 
 #[test]
-fn answers_are_whole_counted_and_resumable() {
-    let engine = EngineStandIn::start(fast()).unwrap();
+fn answers_are_complete_and_resumable() {
+    let engine = EngineStandIn::start(fast_config()).unwrap();
     smol::block_on(async {
         let long = "manual ".repeat(200);
         let first = generate(engine.address(), &long, &[("x-request-id", "a")]).await.unwrap();
-        let (frames, whole) = first.frames();
-        assert!(whole);
+        let (frames, is_complete) = first.frames();
+        assert!(is_complete);
         let numbers: Vec<u64> = frames.iter().map(|(number, _)| *number).collect();
         assert_eq!(numbers, (0..=10).collect::<Vec<u64>>());
         assert!(frames.iter().all(|(_, chunk)| chunk["id"] == "a"));
@@ -59,8 +59,8 @@
 
         let headers = [("x-request-id", "b"), ("x-resume-from-frame", "7")];
         let resumed = generate(engine.address(), &long, &headers).await.unwrap();
-        let (frames, whole) = resumed.frames();
-        assert!(whole);
+        let (frames, is_complete) = resumed.frames();
+        assert!(is_complete);
         assert_eq!(text(&resumed), answer::frame_texts("model", &prompt, 20, 2)[7..].concat());
         let cached = &frames.last().unwrap().1["usage"]["prompt_tokens_details"]["cached_tokens"];
         let blocks = prompt.len() / prompt::BLOCK_BYTES;
@@ -69,12 +69,12 @@
 }
 
 #[test]
-fn other_weights_and_a_full_queue_are_refused() {
+fn wrong_weights_version_and_full_queue_are_refused() {
     let config = EngineConfig {
         max_running_requests: 1,
         max_waiting_requests: 1,
         decode_tokens_per_s: 40,
-        ..fast()
+        ..fast_config()
     };
     let engine = EngineStandIn::start(config).unwrap();
     smol::block_on(async {
@@ -105,8 +105,8 @@
 }
 
 #[test]
-fn crash_cuts_streams_and_returns_empty() {
-    let config = EngineConfig { poison_marker: Some("poison".into()), ..fast() };
+fn crash_cuts_streams_and_empties_cache() {
+    let config = EngineConfig { poison_marker: Some("poison".into()), ..fast_config() };
     let ground_truth = config.ground_truth.clone();
     let engine = EngineStandIn::start(config).unwrap();
     smol::block_on(async {
@@ -131,7 +131,7 @@
 }
 
 #[test]
-fn old_fencing_numbers_are_refused_where_checked() {
+fn outdated_fencing_number_is_refused_if_checked() {
     let order = |number: u64| {
         let models = json!([{"model": "m2", "weights_version": "1", "adapters": []}]);
         let kind = json!({"kind": "serve_models", "models": models});
@@ -140,7 +140,7 @@
     smol::block_on(async {
         let mut seen = Vec::new();
         for checks_fencing in [true, false] {
-            let config = EngineConfig { checks_fencing, ..fast() };
+            let config = EngineConfig { checks_fencing, ..fast_config() };
             let engine = EngineStandIn::start(config).unwrap();
             for number in [5, 4] {
                 let answer =
@@ -180,8 +180,8 @@
 }
 
 #[test]
-fn load_report_leaves_cached_prompts_out() {
-    let config = EngineConfig { max_running_requests: 1, decode_tokens_per_s: 20, ..fast() };
+fn load_report_excludes_cached_prompt_tokens() {
+    let config = EngineConfig { max_running_requests: 1, decode_tokens_per_s: 20, ..fast_config() };
     let engine = EngineStandIn::start(config).unwrap();
     let address = engine.address();
     smol::block_on(async {
--- a/tests/standins/platform.rs
+++ b/tests/standins/platform.rs
@@ -12,7 +12,7 @@
 use std::time::Duration;
 
 #[test]
-fn a_lost_append_answer_leaves_the_record() {
+fn lost_append_answer_still_appends_the_record() {
     let log = LogServiceStandIn::start(LogServiceConfig::default()).unwrap();
     let records = "/streams/claims/records";
     smol::block_on(async {
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn records_expire() {
+fn records_expire_after_retention() {
     let config = LogServiceConfig { retention_ms: 0, ..LogServiceConfig::default() };
     let log = LogServiceStandIn::start(config).unwrap();
     log.append("claims", "one");
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn the_instance_list_lags() {
+fn instance_list_shows_changes_after_lag() {
     let list = InstanceListStandIn::start(InstanceListConfig { lag_ms: 60_000 }).unwrap();
     let shown = Instance {
         name: "node-1".into(),
@@ -68,7 +68,7 @@
 }
 
 #[test]
-fn a_lost_service_answer_counts_as_a_run() {
+fn lost_service_answer_counts_as_a_run() {
     let service = PlainServiceStandIn::start(PlainServiceConfig::default()).unwrap();
     service.set_faults(PlainServiceFaults { lose_answers: true });
     smol::block_on(async {
