--- a/examples/capacity_slopes/claims.rs
+++ b/examples/capacity_slopes/claims.rs
@@ -1,7 +1,7 @@
 //! Claims: bytes of a record, memory of remembered keys, and time of the fold, by claims.
 
 use crate::fit::{Point, Slope};
-use crate::usage::grown_bytes;
+use crate::resource_usage::grown_bytes;
 use coriandertide::decision::claims::{
     ClaimEntry, ClaimEvent, ClaimId, ClaimsSettings, ClaimsState, encode_record,
 };
--- a/examples/capacity_slopes/configuration.rs
+++ b/examples/capacity_slopes/configuration.rs
@@ -1,7 +1,7 @@
 //! Configuration: bytes of a snapshot, time of an edit and memory, by workspaces.
 
 use crate::fit::{Point, Slope};
-use crate::usage::grown_bytes;
+use crate::resource_usage::grown_bytes;
 use coriandertide::decision::configuration::{
     ConfigurationEvent, ConfigurationFollower, ConfigurationRecord, Edit, SectionChange, Snapshot,
 };
--- a/examples/capacity_slopes/main.rs
+++ b/examples/capacity_slopes/main.rs
@@ -10,8 +10,8 @@
 mod membership;
 mod nodes;
 mod power;
+mod resource_usage;
 mod routing;
-mod usage;
 
 use budget::Costs;
 
--- a/examples/capacity_slopes/membership.rs
+++ b/examples/capacity_slopes/membership.rs
@@ -1,7 +1,7 @@
 //! Membership: time of a tick and bytes of the member set, by members.
 
 use crate::fit::{Point, Slope};
-use crate::usage::mean_us;
+use crate::resource_usage::mean_us;
 use coriandertide::decision::configuration::ConfigurationAnnouncement;
 use coriandertide::decision::membership::{
     MemberRecord, MemberStatus, MembershipEvent, MembershipSettings, MembershipState,
--- a/examples/capacity_slopes/nodes.rs
+++ b/examples/capacity_slopes/nodes.rs
@@ -1,7 +1,7 @@
 //! Running nodes: processor time of the control thread and bytes on links, by nodes.
 
 use crate::fit::{Point, Slope};
-use crate::usage::used_bytes;
+use crate::resource_usage::used_bytes;
 use coriandertide::adapters::http_client::send;
 use coriandertide::daemon::Node;
 use coriandertide::decision::configuration::ConfigurationRecord;
--- a/examples/capacity_slopes/power.rs
+++ b/examples/capacity_slopes/power.rs
@@ -1,7 +1,7 @@
 //! Power: time of a tick, bytes of a checkpoint and of a hold, by nodes.
 
 use crate::fit::{Point, Slope};
-use crate::usage::mean_us;
+use crate::resource_usage::mean_us;
 use bytes::Bytes;
 use coriandertide::decision::leases::StreamRecord;
 use coriandertide::decision::power::ledger::ShareEntry;
--- a/examples/capacity_slopes/routing.rs
+++ b/examples/capacity_slopes/routing.rs
@@ -4,7 +4,7 @@
 mod fleet;
 
 use crate::fit::{Point, Slope};
-use crate::usage::{grown_bytes, mean_us};
+use crate::resource_usage::{grown_bytes, mean_us};
 use coriandertide::decision::routing::{RoutingEvent, RoutingPolicy};
 use coriandertide::ports::{CacheEvent, CacheEventPage};
 use fleet::{FleetSize, TargetFleet, query, report, server};
