--- a/benches/routing.rs
+++ b/benches/routing.rs
@@ -6,14 +6,14 @@
 
 use coriandertide::decision::routing::{RoutingEvent, RoutingPolicy, SentRequest};
 use criterion::{BatchSize, Criterion, criterion_group, criterion_main};
-use fleet::{FleetSize, KNOWN_PREFIXES, TargetFleet, query, server};
+use fleet::{FleetSize, FleetState, KNOWN_PREFIXES, route_query, server_id};
 use std::hint::black_box;
 
 fn decisions(criterion: &mut Criterion) {
     for policy in [RoutingPolicy::Coriandertide, RoutingPolicy::PrefixHash] {
-        let fleet = TargetFleet::new(policy, FleetSize::TARGET);
+        let fleet = FleetState::new(policy, FleetSize::TARGET);
         let view = fleet.state.view();
-        let queries: Vec<_> = (0..1_000).map(|number| query(number * 97)).collect();
+        let queries: Vec<_> = (0..1_000).map(|number| route_query(number * 97)).collect();
         let mut next = 0;
         criterion.bench_function(&format!("decision_{policy}"), |bencher| {
             bencher.iter(|| {
@@ -25,14 +25,14 @@
 }
 
 fn events(criterion: &mut Criterion) {
-    let mut fleet = TargetFleet::new(RoutingPolicy::Coriandertide, FleetSize::TARGET);
+    let mut fleet = FleetState::new(RoutingPolicy::Coriandertide, FleetSize::TARGET);
     let mut number = 0;
     criterion.bench_function("sent_request_and_view", |bencher| {
         bencher.iter_batched(
             || {
                 number += 131;
-                let query = query(number % KNOWN_PREFIXES);
-                SentRequest { server: server(number), runner_up: None, levels: query.levels }
+                let query = route_query(number % KNOWN_PREFIXES);
+                SentRequest { server: server_id(number), runner_up: None, levels: query.levels }
             },
             |sent| {
                 fleet.state.apply(RoutingEvent::Sent(sent), fleet.now);
--- a/examples/capacity_slopes/claims.rs
+++ b/examples/capacity_slopes/claims.rs
@@ -1,74 +1,75 @@
-//! Claims: bytes of a record, memory of remembered keys, and time of the fold, by claims.
+//! Costs of claims: record size, memory of tracked keys and time of the fold.
 
 use crate::fit::{Point, Slope};
-use crate::resource_usage::grown_bytes;
+use crate::resource_usage::measure_allocation;
 use coriandertide::decision::claims::{
     ClaimEntry, ClaimEvent, ClaimId, ClaimsSettings, ClaimsState, encode_record,
 };
 use coriandertide::ports::{LogPage, LogRecord};
 use std::time::{Duration, Instant, UNIX_EPOCH};
 
-/// Claims in one record.
-const BATCHES: [u64; 4] = [1, 10, 50, 100];
-/// Keys remembered.
-const KEYS: [u64; 3] = [25_000, 50_000, 100_000];
+/// Measured numbers of claims in one record.
+const BATCH_SIZES: [u64; 4] = [1, 10, 50, 100];
+/// Measured numbers of tracked keys.
+const KEY_COUNTS: [u64; 3] = [25_000, 50_000, 100_000];
 
-/// Costs of claims.
+/// Costs of the claims subsystem.
 pub struct ClaimCosts {
-    /// Bytes of a record, by the claims in it.
+    /// Bytes of a record, by the number of claims in it.
     pub record_bytes: Slope,
-    /// Bytes of memory, by remembered keys.
+    /// Bytes of memory, by tracked keys.
     pub memory_bytes: Slope,
-    /// Microseconds to fold claims in, by claims.
+    /// Microseconds to encode and fold claims, by their number.
     pub fold_us: Slope,
-    /// Milliseconds for which a key is remembered.
-    pub memory_ms: u64,
+    /// Milliseconds for which a key is tracked.
+    pub dedup_window_ms: u64,
 }
 
-/// Measures claims.
+/// Measures the costs of claims.
 pub fn measure() -> anyhow::Result<ClaimCosts> {
-    let record_points = BATCHES.map(|size| {
-        let batch: Vec<ClaimEntry> = (1_000..1_000 + size).map(claim).collect();
+    let record_points = BATCH_SIZES.map(|size| {
+        let batch: Vec<ClaimEntry> = (1_000..1_000 + size).map(claim_entry).collect();
         Point { size: size as f64, cost: encode_record(&batch).len() as f64 }
     });
     let mut memory_points = Vec::new();
     let mut fold_points = Vec::new();
-    let mut kept = Vec::new();
-    for keys in KEYS {
+    let mut retained_states = Vec::new();
+    for keys in KEY_COUNTS {
         let started_at = Instant::now();
-        let (bytes, state) = grown_bytes(|| fold(keys))?;
+        let (bytes, state) = measure_allocation(|| fold_claims(keys))?;
         let fold_us = started_at.elapsed().as_secs_f64() * 1e6;
         memory_points.push(Point { size: keys as f64, cost: bytes });
         fold_points.push(Point { size: keys as f64, cost: fold_us });
-        kept.push(state);
+        retained_states.push(state);
     }
     Ok(ClaimCosts {
         record_bytes: Slope::fit("claims: bytes of a record, by claims", record_points.into()),
         memory_bytes: Slope::fit("claims: bytes of memory, by keys", memory_points),
         fold_us: Slope::fit("claims: us to encode and fold, by claims", fold_points),
-        memory_ms: ClaimsSettings::default().dedup_window_ms(),
+        dedup_window_ms: ClaimsSettings::default().dedup_window_ms(),
     })
 }
 
-fn claim(number: u64) -> ClaimEntry {
-    let spread = u128::from(number).wrapping_mul(0x9e37_79b9_7f4a_7c15_f39c_c060_5ced_c835);
+fn claim_entry(number: u64) -> ClaimEntry {
+    let key = u128::from(number).wrapping_mul(0x9e37_79b9_7f4a_7c15_f39c_c060_5ced_c835);
     let claim = ClaimId { instance_hash: 0x0123_4567_89ab_cdef + number % 370, sequence: number };
-    ClaimEntry::Claim { claim, key: spread, fingerprint: spread as u64 }
+    ClaimEntry::Claim { claim, key, fingerprint: key as u64 }
 }
 
-fn fold(keys: u64) -> anyhow::Result<ClaimsState> {
+/// Folds one claim for each of `keys` keys.
+fn fold_claims(keys: u64) -> anyhow::Result<ClaimsState> {
     let mut state = ClaimsState::new(&"entry-0".into(), ClaimsSettings::default());
     let now = Instant::now();
     for number in 0..keys {
         let record = LogRecord {
             offset: number + 1,
             appended_at: UNIX_EPOCH + Duration::from_millis(number),
-            payload: encode_record(&[claim(number)]),
+            payload: encode_record(&[claim_entry(number)]),
         };
         let page = LogPage { first_offset: 1, next_offset: number + 2, records: vec![record] };
         state.apply(ClaimEvent::Page(page), now);
     }
-    let remembered = state.tracked_keys() as u64;
-    anyhow::ensure!(remembered == keys, "{remembered} of {keys} keys are remembered");
+    let tracked = state.tracked_keys() as u64;
+    anyhow::ensure!(tracked == keys, "{tracked} of {keys} keys are tracked");
     Ok(state)
 }
--- a/examples/capacity_slopes/configuration.rs
+++ b/examples/capacity_slopes/configuration.rs
@@ -1,7 +1,7 @@
-//! Configuration: bytes of a snapshot, time of an edit and memory, by workspaces.
+//! Costs of configuration: bytes of a snapshot, time of an edit and memory, by workspaces.
 
 use crate::fit::{Point, Slope};
-use crate::resource_usage::grown_bytes;
+use crate::resource_usage::measure_allocation;
 use coriandertide::decision::configuration::{
     ConfigurationEvent, ConfigurationFollower, ConfigurationRecord, Edit, SectionChange, Snapshot,
 };
@@ -11,38 +11,38 @@
 use smol_str::format_smolstr;
 use std::time::{Instant, SystemTime};
 
-/// Workspaces measured.
+/// Measured numbers of workspaces.
 const SIZES: [u64; 4] = [90, 270, 540, 810];
-/// Edits of a measurement.
+/// Edits per measurement.
 const EDITS: u64 = 40;
 
-/// Costs of configuration.
+/// Costs of the configuration subsystem.
 pub struct ConfigurationCosts {
     /// Bytes of a snapshot, by workspaces.
     pub snapshot_bytes: Slope,
-    /// Microseconds to fold an edit in and check the document, by workspaces.
+    /// Microseconds to fold an edit and check the document, by workspaces.
     pub edit_us: Slope,
     /// Bytes of memory, by workspaces.
     pub memory_bytes: Slope,
-    /// Bytes of the record of an edit.
+    /// Bytes of an edit record.
     pub edit_bytes: f64,
 }
 
-/// Measures configuration.
+/// Measures the costs of configuration.
 pub fn measure() -> anyhow::Result<ConfigurationCosts> {
     let mut snapshot_points = Vec::new();
     let mut edit_points = Vec::new();
     let mut memory_points = Vec::new();
-    let mut kept = Vec::new();
+    let mut retained_followers = Vec::new();
     for workspaces in SIZES {
         let size = workspaces as f64;
-        let (bytes, mut follower) = grown_bytes(|| start(workspaces))?;
+        let (bytes, mut follower) = measure_allocation(|| start_follower(workspaces))?;
         memory_points.push(Point { size, cost: bytes });
         edit_points.push(Point { size, cost: edit_us(&mut follower)? });
         let state = follower.state().ok_or_else(|| anyhow::anyhow!("no document is known"))?;
         let snapshot = ConfigurationRecord::Snapshot(Snapshot { state: state.as_ref().clone() });
         snapshot_points.push(Point { size, cost: snapshot.encode().len() as f64 });
-        kept.push(follower);
+        retained_followers.push(follower);
     }
     Ok(ConfigurationCosts {
         snapshot_bytes: Slope::fit(
@@ -51,7 +51,7 @@
         ),
         edit_us: Slope::fit("configuration: us an edit, by workspaces", edit_points),
         memory_bytes: Slope::fit("configuration: bytes of memory, by workspaces", memory_points),
-        edit_bytes: edit(1, 1).encode().len() as f64,
+        edit_bytes: edit_record(1, 1).encode().len() as f64,
     })
 }
 
@@ -59,22 +59,22 @@
     json!({ "key_hashes": ["ab".repeat(32)], "requests_per_s": rate })
 }
 
-fn start(workspaces: u64) -> anyhow::Result<ConfigurationFollower> {
-    let named: Map<String, Value> =
+fn start_follower(workspaces: u64) -> anyhow::Result<ConfigurationFollower> {
+    let sections: Map<String, Value> =
         (0..workspaces).map(|number| (format!("workspace-{number:03}"), workspace(100))).collect();
-    let raw: RawDocument = serde_json::from_value(json!({ "workspaces": named }))?;
+    let raw: RawDocument = serde_json::from_value(json!({ "workspaces": sections }))?;
     let mut follower = ConfigurationFollower::default();
-    follower.apply(page(1, &ConfigurationRecord::initial(raw)));
+    follower.apply(log_read(1, &ConfigurationRecord::initial(raw)));
     Ok(follower)
 }
 
-fn page(offset: u64, record: &ConfigurationRecord) -> ConfigurationEvent {
+fn log_read(offset: u64, record: &ConfigurationRecord) -> ConfigurationEvent {
     let record = LogRecord { offset, appended_at: SystemTime::now(), payload: record.encode() };
     let page = LogPage { first_offset: 1, next_offset: offset + 1, records: vec![record] };
     ConfigurationEvent::LogRead(page)
 }
 
-fn edit(number: u64, base_revision: u64) -> ConfigurationRecord {
+fn edit_record(number: u64, base_revision: u64) -> ConfigurationRecord {
     ConfigurationRecord::Edit(Edit {
         edit_id: format_smolstr!("edit-{number:016x}"),
         author: "operator".into(),
@@ -92,10 +92,10 @@
     let started_at = Instant::now();
     for number in 0..EDITS {
         let base_revision = 1 + number;
-        follower.apply(page(base_revision + 1, &edit(number, base_revision)));
+        follower.apply(log_read(base_revision + 1, &edit_record(number, base_revision)));
     }
-    let spent_us = started_at.elapsed().as_secs_f64() * 1e6;
+    let elapsed_us = started_at.elapsed().as_secs_f64() * 1e6;
     let revision = follower.document_in_force().offset;
     anyhow::ensure!(revision == EDITS + 1, "revision {revision} is in force after {EDITS} edits");
-    Ok(spent_us / EDITS as f64)
+    Ok(elapsed_us / EDITS as f64)
 }
--- a/examples/capacity_slopes/main.rs
+++ b/examples/capacity_slopes/main.rs
@@ -1,7 +1,8 @@
-//! Measures how the cost of each role grows and works out a node's budget at the target's size.
+//! Measures how the cost of each subsystem grows with the size of a site, and derives the resource
+//! budget of a node at the target size.
 //!
-//! `cargo run --release --example capacity_slopes`; it takes less than a minute; its running
-//! nodes and stand-ins use loopback only.
+//! Run it with `cargo run --release --example capacity_slopes`. It takes less than a minute, and
+//! its nodes and stand-ins use loopback only.
 
 mod budget;
 mod claims;
@@ -25,7 +26,7 @@
     println!("{:<44} {:>12} {:>12} {:>7}  points", "slope", "base", "per unit", "error");
     let slopes = [
         &membership.tick_us,
-        &membership.set_bytes,
+        &membership.member_set_bytes,
         &claims.record_bytes,
         &claims.memory_bytes,
         &claims.fold_us,
@@ -45,6 +46,6 @@
     slopes.iter().for_each(|slope| println!("{slope}"));
     println!();
     let costs = Costs { membership, claims, power, configuration, routing, nodes };
-    print!("{}", budget::at_target(&costs));
+    print!("{}", budget::target_budget(&costs));
     Ok(())
 }
--- a/examples/capacity_slopes/membership.rs
+++ b/examples/capacity_slopes/membership.rs
@@ -1,4 +1,4 @@
-//! Membership: time of a tick and bytes of the member set, by members.
+//! Costs of membership: time of a tick and bytes of the member set, by members.
 
 use crate::fit::{Point, Slope};
 use crate::resource_usage::mean_us;
@@ -9,44 +9,45 @@
 use coriandertide::links::PartnerMessage;
 use std::time::{Duration, Instant};
 
-/// Members measured.
+/// Measured numbers of members.
 const SIZES: [u64; 4] = [8, 92, 185, 370];
-/// Links of a node.
+/// Partner links of a node.
 pub const LINKS: u64 = 8;
-/// Ticks of a measurement.
+/// Ticks per measurement.
 const TICKS: u32 = 400;
 
-/// Costs of membership.
+/// Costs of the membership subsystem.
 pub struct MembershipCosts {
-    /// Microseconds of a tick with the messages of all links, by members.
+    /// Microseconds of a tick in which each link delivers a message, by members.
     pub tick_us: Slope,
     /// Bytes of the member set sent to a new partner, by members.
-    pub set_bytes: Slope,
-    /// Bytes of a ping.
+    pub member_set_bytes: Slope,
+    /// Bytes of a ping message.
     pub ping_bytes: f64,
-    /// Bytes of the update of one member.
+    /// Bytes of an update of one member.
     pub update_bytes: f64,
 }
 
-/// Measures membership.
+/// Measures the costs of membership.
 pub fn measure() -> MembershipCosts {
     let ping = PartnerMessage::Ping {
         digest: u64::MAX,
         configuration: ConfigurationAnnouncement::default(),
     };
-    let set = |members: u64| PartnerMessage::Members((0..members).map(member).collect());
+    let member_set =
+        |members: u64| PartnerMessage::Members((0..members).map(member_record).collect());
     let tick_points = SIZES.map(|size| Point { size: size as f64, cost: tick_us(size) });
     let set_points =
-        SIZES.map(|size| Point { size: size as f64, cost: set(size).encode().len() as f64 });
+        SIZES.map(|size| Point { size: size as f64, cost: member_set(size).encode().len() as f64 });
     MembershipCosts {
         tick_us: Slope::fit("membership: us a tick, by members", tick_points.into()),
-        set_bytes: Slope::fit("membership: bytes of the set, by members", set_points.into()),
+        member_set_bytes: Slope::fit("membership: bytes of the set, by members", set_points.into()),
         ping_bytes: ping.encode().len() as f64,
-        update_bytes: set(1).encode().len() as f64,
+        update_bytes: member_set(1).encode().len() as f64,
     }
 }
 
-fn member(number: u64) -> MemberRecord {
+fn member_record(number: u64) -> MemberRecord {
     MemberRecord {
         instance: format!("entry-{number:03}-{number:08x}").into(),
         address: ([10, 0, (number >> 8) as u8, number as u8], 8_082).into(),
@@ -58,20 +59,20 @@
 }
 
 fn tick_us(members: u64) -> f64 {
-    let mut state = MembershipState::new(member(0), MembershipSettings::default());
+    let mut state = MembershipState::new(member_record(0), MembershipSettings::default());
     let mut now = Instant::now();
     let links = LINKS.min(members - 1);
     for number in 1..=links {
-        let peer = member(number);
+        let peer = member_record(number);
         state.apply(MembershipEvent::LinkOpened { peer, dialed: number % 2 == 0 }, now);
     }
-    let records = (1..members).map(member).collect();
-    state.apply(MembershipEvent::Records { peer: member(1).instance, records }, now);
+    let records = (1..members).map(member_record).collect();
+    state.apply(MembershipEvent::Records { peer: member_record(1).instance, records }, now);
     mean_us(TICKS, |_| {
         now += Duration::from_millis(100);
         state.apply(MembershipEvent::Tick, now);
         for number in 1..=links {
-            state.apply(MembershipEvent::MessageReceived(member(number).instance), now);
+            state.apply(MembershipEvent::MessageReceived(member_record(number).instance), now);
         }
     })
 }
--- a/examples/capacity_slopes/nodes.rs
+++ b/examples/capacity_slopes/nodes.rs
@@ -1,7 +1,7 @@
-//! Running nodes: processor time of the control thread and bytes on links, by nodes.
+//! Costs of running nodes without traffic: CPU time, link bytes and memory, by nodes.
 
 use crate::fit::{Point, Slope};
-use crate::resource_usage::used_bytes;
+use crate::resource_usage::allocated_bytes;
 use coriandertide::adapters::http_client::send;
 use coriandertide::daemon::Node;
 use coriandertide::decision::configuration::ConfigurationRecord;
@@ -18,35 +18,35 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Nodes measured.
+/// Measured numbers of nodes.
 const SIZES: [usize; 3] = [2, 5, 9];
-/// Engines behind the nodes.
+/// Model engines of the site.
 const ENGINES: usize = 12;
-/// Time until links and shares have settled.
-const SETTLE: Duration = Duration::from_secs(3);
-/// Time of a measurement.
-const PERIOD: Duration = Duration::from_secs(6);
-/// Bound on reading metrics.
-const TIMEOUT: Duration = Duration::from_secs(5);
+/// Time after the start until links are open and power shares are allocated.
+const SETTLE_TIME: Duration = Duration::from_secs(3);
+/// Duration of a measurement.
+const MEASURE_PERIOD: Duration = Duration::from_secs(6);
+/// Timeout of reading the metrics of a node.
+const METRICS_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// Costs of running nodes without traffic.
 pub struct NodeCosts {
-    /// Microseconds of the control thread a second, by nodes.
+    /// CPU time of the control thread, in microseconds per second, by nodes.
     pub control_us_per_s: Slope,
-    /// Bytes a second sent and received on partner links, by nodes.
+    /// Bytes sent and received on partner links per second, by nodes.
     pub link_bytes_per_s: Slope,
     /// Bytes of memory of a node, by nodes.
     pub memory_bytes: Slope,
 }
 
-/// Costs of one node in a site of some size.
+/// Mean costs of a node in a site of one size.
 struct NodeCost {
     control_us_per_s: f64,
     link_bytes_per_s: f64,
     memory_bytes: f64,
 }
 
-/// Measures running nodes in this process.
+/// Measures nodes that run in this process.
 pub fn measure() -> anyhow::Result<NodeCosts> {
     let mut control_points = Vec::new();
     let mut link_points = Vec::new();
@@ -71,22 +71,22 @@
     let engines = (0..ENGINES).map(start_engine).collect::<anyhow::Result<Vec<_>>>()?;
     let raw: RawDocument = serde_json::from_value(document(&engines))?;
     log.append("configuration", ConfigurationRecord::initial(raw).encode());
-    let used_before = used_bytes();
+    let memory_before = allocated_bytes();
     let nodes = (0..size)
         .map(|number| start_node(number, &log, &list))
         .collect::<anyhow::Result<Vec<_>>>()?;
-    thread::sleep(SETTLE);
+    thread::sleep(SETTLE_TIME);
     let (cpu_before, links_before) = (control_us()?, link_bytes(&nodes)?);
     let started_at = Instant::now();
-    thread::sleep(PERIOD);
-    let used = used_bytes().saturating_sub(used_before);
+    thread::sleep(MEASURE_PERIOD);
+    let memory_growth = allocated_bytes().saturating_sub(memory_before);
     let (cpu, links) = (control_us()? - cpu_before, link_bytes(&nodes)? - links_before);
     let node_seconds = started_at.elapsed().as_secs_f64() * size as f64;
     nodes.into_iter().for_each(Node::kill);
     Ok(NodeCost {
         control_us_per_s: cpu / node_seconds,
         link_bytes_per_s: links / node_seconds,
-        memory_bytes: used as f64 / size as f64,
+        memory_bytes: memory_growth as f64 / size as f64,
     })
 }
 
@@ -145,7 +145,7 @@
     Ok(node)
 }
 
-/// Returns the processor time of all control threads of this process in microseconds.
+/// Returns the CPU time of all control threads of this process, in microseconds.
 fn control_us() -> anyhow::Result<f64> {
     let mut total_ns = 0.0;
     for task in fs::read_dir("/proc/self/task")? {
@@ -159,12 +159,12 @@
     Ok(total_ns / 1e3)
 }
 
-/// Returns the bytes that all nodes have sent and received on partner links.
+/// Returns the bytes sent and received by all nodes on partner links, from their metrics.
 fn link_bytes(nodes: &[Node]) -> anyhow::Result<f64> {
     let mut total = 0.0;
     for node in nodes {
         let request = Request::get("/metrics").header("host", "node").body(Default::default())?;
-        let deadline = Instant::now() + TIMEOUT;
+        let deadline = Instant::now() + METRICS_TIMEOUT;
         let body = smol::block_on(async {
             let mut exchange = send(node.caller_address(), request, deadline).await?;
             exchange.read_all(1 << 20, deadline).await
--- a/examples/capacity_slopes/power.rs
+++ b/examples/capacity_slopes/power.rs
@@ -1,4 +1,4 @@
-//! Power: time of a tick, bytes of a checkpoint and of a hold, by nodes.
+//! Costs of power: time of a tick and bytes of a checkpoint by nodes, and bytes of single messages.
 
 use crate::fit::{Point, Slope};
 use crate::resource_usage::mean_us;
@@ -17,38 +17,38 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant, SystemTime};
 
-/// Nodes measured.
+/// Measured numbers of nodes.
 const SIZES: [u64; 4] = [8, 92, 185, 370];
-/// Requests that run on a node at the peak: 2,900 a second for 10 s over 370 nodes.
+/// Requests running on a node at peak: 2,900 per second, 10 s each, over 370 nodes.
 const RUNNING_REQUESTS: u64 = 80;
-/// Times that each step is repeated.
+/// Repetitions of each measured step.
 const REPEATS: u32 = 2_000;
 
-type Record = StreamRecord<ShareRecord, ShareEntry>;
+type PowerRecord = StreamRecord<ShareRecord, ShareEntry>;
 
-/// Costs of power.
+/// Costs of the power subsystem.
 pub struct PowerCosts {
     /// Microseconds of a tick of the control thread, by nodes.
     pub tick_us: Slope,
-    /// Bytes of a checkpoint, by nodes.
+    /// Bytes of a checkpoint record, by nodes.
     pub checkpoint_bytes: Slope,
-    /// Bytes of a hold.
+    /// Bytes of a hold record.
     pub hold_bytes: f64,
-    /// Bytes of an ask to a partner.
+    /// Bytes of a message that asks a partner for power.
     pub ask_bytes: f64,
-    /// Microseconds to commit the watts of a request and give them back.
+    /// Microseconds to commit and release the power of a request.
     pub start_us: f64,
 }
 
-/// Measures power.
+/// Measures the costs of power.
 pub fn measure() -> anyhow::Result<PowerCosts> {
     let mut tick_points = Vec::new();
     let mut checkpoint_points = Vec::new();
     for nodes in SIZES {
         let size = nodes as f64;
         tick_points.push(Point { size, cost: tick_us(nodes)? });
-        let entries = (0..nodes).map(|number| entry(number, nodes)).collect();
-        let checkpoint = Record::Checkpoint { as_of: nodes, entries };
+        let entries = (0..nodes).map(|number| share_entry(number, nodes)).collect();
+        let checkpoint = PowerRecord::Checkpoint { as_of: nodes, entries };
         let bytes = serde_json::to_vec(&checkpoint)?.len();
         checkpoint_points.push(Point { size, cost: bytes as f64 });
     }
@@ -58,13 +58,13 @@
     Ok(PowerCosts {
         tick_us: Slope::fit("power: us a tick, by nodes", tick_points),
         checkpoint_bytes: Slope::fit("power: bytes of a checkpoint, by nodes", checkpoint_points),
-        hold_bytes: serde_json::to_vec(&hold(entry(1, 370)))?.len() as f64,
+        hold_bytes: serde_json::to_vec(&hold_record(share_entry(1, 370)))?.len() as f64,
         ask_bytes: ask_bytes.len() as f64,
         start_us: start_us()?,
     })
 }
 
-fn entry(number: u64, nodes: u64) -> ShareEntry {
+fn share_entry(number: u64, nodes: u64) -> ShareEntry {
     ShareEntry {
         instance: format!("entry-norte-{number:03}-89abcdef").into(),
         offset: 1_000_000 + number,
@@ -75,7 +75,7 @@
     }
 }
 
-fn hold(entry: ShareEntry) -> Record {
+fn hold_record(entry: ShareEntry) -> PowerRecord {
     StreamRecord::Change(ShareRecord {
         instance: entry.instance,
         attempt: 1,
@@ -108,7 +108,7 @@
     state.apply(PowerEvent::Document(Arc::new(document()?)), now);
     let mut records = Vec::new();
     for number in 0..nodes {
-        let payload = Bytes::from(serde_json::to_vec(&hold(entry(number, nodes)))?);
+        let payload = Bytes::from(serde_json::to_vec(&hold_record(share_entry(number, nodes)))?);
         let appended_at = SystemTime::now();
         records.push(LogRecord { offset: number + 1, appended_at, payload });
     }
@@ -126,18 +126,18 @@
     account.set_document(&document()?);
     let source = PowerSource { parts: TOTAL_PARTS / 2, deadline, start_deadline: deadline };
     account.set_source(SourceId::Share, source);
-    let start = |number: u64| PowerRequest {
+    let power_request = |number: u64| PowerRequest {
         request: format!("request-{number}").into(),
         server: "server".into(),
         priority: Priority::Normal,
         work_deadline: now + Duration::from_secs(30),
     };
     for number in 0..RUNNING_REQUESTS {
-        account.try_start(&start(number), now);
+        account.try_start(&power_request(number), now);
     }
-    let one_more = start(RUNNING_REQUESTS);
+    let additional = power_request(RUNNING_REQUESTS);
     Ok(mean_us(REPEATS, |_| {
-        black_box(account.try_start(&one_more, now));
-        account.finish(&one_more.request);
+        black_box(account.try_start(&additional, now));
+        account.finish(&additional.request);
     }))
 }
--- a/examples/configuration_in_force.rs
+++ b/examples/configuration_in_force.rs
@@ -1,7 +1,7 @@
-//! Measures the time from an edit to its being in force on all nodes, the bytes that following the
-//! log costs, and the restart of a node with a document of 810 workspaces.
+//! Measures the time until an edit is in force on all nodes, the bytes that idle nodes spend on
+//! reading the log, and the restart time of a node with a document of 810 workspaces.
 //!
-//! All nodes run in this process, in front of one log stand-in on loopback:
+//! All nodes run in this process and use one log stand-in on loopback:
 //! `cargo run --release --example configuration_in_force`.
 
 use coriandertide::admin::messages::EditReply;
@@ -24,18 +24,18 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Key of the administrator.
-const KEY: &str = "administrator-key";
-/// Edits timed for each number of nodes.
+/// Bearer key of the administrator.
+const ADMIN_KEY: &str = "administrator-key";
+/// Edits measured for each number of nodes.
 const EDITS: u32 = 20;
-/// Time over which idle nodes' bytes are counted.
+/// Time over which the bytes of idle nodes are counted.
 const IDLE_PERIOD: Duration = Duration::from_secs(10);
-/// Workspaces of the large document.
+/// Workspaces of the document.
 const WORKSPACES: u32 = 810;
-/// Edits of a day at the target.
-const EDITS_A_DAY: u64 = 2_900;
+/// Edits per day at the target size.
+const EDITS_PER_DAY: u64 = 2_900;
 
-/// Forwards connections to the log and counts the bytes of both directions.
+/// TCP proxy in front of the log that counts the bytes in both directions.
 struct CountingProxy {
     address: SocketAddr,
     bytes: Arc<AtomicU64>,
@@ -46,31 +46,32 @@
         let listener = TcpListener::bind("127.0.0.1:0")?;
         let address = listener.local_addr()?;
         let bytes = Arc::new(AtomicU64::new(0));
-        let counted = Arc::clone(&bytes);
+        let counter = Arc::clone(&bytes);
         thread::spawn(move || {
             for stream in listener.incoming().flatten() {
                 let Ok(upstream) = TcpStream::connect(log) else { continue };
                 let (Ok(from), Ok(to)) = (stream.try_clone(), upstream.try_clone()) else {
                     continue;
                 };
-                forward(from, to, Arc::clone(&counted));
-                forward(upstream, stream, Arc::clone(&counted));
+                forward(from, to, Arc::clone(&counter));
+                forward(upstream, stream, Arc::clone(&counter));
             }
         });
         Ok(Self { address, bytes })
     }
 }
 
-fn forward(mut from: TcpStream, mut to: TcpStream, bytes: Arc<AtomicU64>) {
+/// Copies one direction of a connection on a thread of its own.
+fn forward(mut from: TcpStream, mut to: TcpStream, counter: Arc<AtomicU64>) {
     thread::spawn(move || {
         let mut buffer = [0; 16 * 1024];
         while let Ok(length @ 1..) = from.read(&mut buffer) {
-            bytes.fetch_add(length as u64, Ordering::Relaxed);
+            counter.fetch_add(length as u64, Ordering::Relaxed);
             if to.write_all(&buffer[..length]).is_err() {
                 break;
             }
         }
-        let _closed = to.shutdown(Shutdown::Both);
+        let _ = to.shutdown(Shutdown::Both);
     });
 }
 
@@ -84,7 +85,9 @@
         .collect();
     Ok(serde_json::from_value(json!({
         "workspaces": workspaces,
-        "owners": { "operations": { "key_hashes": [hash_key(KEY)], "role": "administrator" } },
+        "owners": {
+            "operations": { "key_hashes": [hash_key(ADMIN_KEY)], "role": "administrator" },
+        },
     }))?)
 }
 
@@ -112,13 +115,15 @@
     Ok(node)
 }
 
-fn wait_for(nodes: &[Node], revision: u64) {
+/// Blocks until all nodes have document `revision` or a later one in force.
+fn wait_for_revision(nodes: &[Node], revision: u64) {
     while nodes.iter().any(|node| node.document_revision() < revision) {
         thread::sleep(Duration::from_millis(1));
     }
 }
 
-fn edit(client: &AdminClient, base_revision: u64, rate: u32) -> anyhow::Result<u64> {
+/// Submits an edit and returns its revision.
+fn submit_edit(client: &AdminClient, base_revision: u64, rate: u32) -> anyhow::Result<u64> {
     let change = SectionChange {
         section: "workspaces/workspace-0".into(),
         base_revision,
@@ -131,57 +136,58 @@
     Ok(reply.revision)
 }
 
-fn measure_in_force(count: usize, log_period_ms: u64) -> anyhow::Result<()> {
+fn measure_edits(node_count: usize, log_period_ms: u64) -> anyhow::Result<()> {
     let log = LogServiceStandIn::start(LogServiceConfig::default())?;
     let list = InstanceListStandIn::start(InstanceListConfig::default())?;
     let proxy = CountingProxy::start(log.address())?;
     let mut revision =
         log.append("configuration", ConfigurationRecord::initial(document()?).encode());
-    let nodes: Vec<Node> = (0..count)
+    let nodes: Vec<Node> = (0..node_count)
         .map(|_| start_node(proxy.address, &list, log_period_ms))
         .collect::<anyhow::Result<_>>()?;
-    wait_for(&nodes, revision);
+    wait_for_revision(&nodes, revision);
     let bytes_before = proxy.bytes.load(Ordering::Relaxed);
     thread::sleep(IDLE_PERIOD);
     let idle_bytes = proxy.bytes.load(Ordering::Relaxed) - bytes_before;
-    let client = AdminClient::new(nodes[0].admin_address(), KEY);
+    let client = AdminClient::new(nodes[0].admin_address(), ADMIN_KEY);
     let mut times_ms = Vec::new();
     for rate in 1..=EDITS {
         let sent_at = Instant::now();
-        revision = edit(&client, revision, rate)?;
-        wait_for(&nodes, revision);
+        revision = submit_edit(&client, revision, rate)?;
+        wait_for_revision(&nodes, revision);
         times_ms.push(sent_at.elapsed().as_millis());
     }
     times_ms.sort_unstable();
     println!(
-        "nodes={count} log_period_ms={log_period_ms} edits={EDITS} median_ms={} max_ms={} idle_bytes_per_node_per_s={:.0}",
+        "nodes={node_count} log_period_ms={log_period_ms} edits={EDITS} median_ms={} max_ms={} idle_bytes_per_node_per_s={:.0}",
         times_ms[times_ms.len() / 2],
         times_ms[times_ms.len() - 1],
-        idle_bytes as f64 / count as f64 / IDLE_PERIOD.as_secs_f64()
+        idle_bytes as f64 / node_count as f64 / IDLE_PERIOD.as_secs_f64()
     );
     nodes.into_iter().for_each(Node::kill);
     Ok(())
 }
 
-/// Fills the log with a day of edits and a snapshot before them, as a restarting node meets it.
+/// Fills the log with a document, a snapshot and a day of edits, and returns the last revision.
 fn fill_log(log: &LogServiceStandIn) -> anyhow::Result<u64> {
-    let first = ConfigurationRecord::initial(document()?).encode();
-    let mut revision = log.append("configuration", first.clone());
+    let initial = ConfigurationRecord::initial(document()?).encode();
+    let mut revision = log.append("configuration", initial.clone());
     let mut follower = ConfigurationFollower::default();
     let record = coriandertide::ports::LogRecord {
         offset: 1,
         appended_at: std::time::SystemTime::UNIX_EPOCH,
-        payload: first,
+        payload: initial,
     };
     let page =
         coriandertide::ports::LogPage { first_offset: 1, next_offset: 2, records: vec![record] };
     follower.apply(coriandertide::decision::configuration::ConfigurationEvent::LogRead(page));
-    let copy = follower.partner_copy().ok_or_else(|| anyhow::anyhow!("no state"))?;
+    let copy =
+        follower.partner_copy().ok_or_else(|| anyhow::anyhow!("the follower has no state"))?;
     let snapshot = ConfigurationRecord::Snapshot(Snapshot { state: copy.state.as_ref().clone() });
     let payload = snapshot.encode();
     println!("snapshot_bytes={}", payload.len());
     log.append("configuration", payload);
-    for number in 0..EDITS_A_DAY {
+    for number in 0..EDITS_PER_DAY {
         let edit = Edit {
             edit_id: format!("edit-{number}").into(),
             author: "operations".into(),
@@ -205,11 +211,11 @@
     for _ in 0..5 {
         let started_at = Instant::now();
         let node = start_node(log.address(), &list, 250)?;
-        wait_for(std::slice::from_ref(&node), 1);
+        wait_for_revision(std::slice::from_ref(&node), 1);
         let first_ms = started_at.elapsed().as_millis();
-        wait_for(std::slice::from_ref(&node), revision);
+        wait_for_revision(std::slice::from_ref(&node), revision);
         println!(
-            "restart workspaces={WORKSPACES} edits={EDITS_A_DAY} first_document_ms={first_ms} \
+            "restart workspaces={WORKSPACES} edits={EDITS_PER_DAY} first_document_ms={first_ms} \
              latest_document_ms={}",
             started_at.elapsed().as_millis()
         );
@@ -221,7 +227,7 @@
 fn main() -> anyhow::Result<()> {
     for log_period_ms in [250, 5_000] {
         for count in [3, 8, 32] {
-            measure_in_force(count, log_period_ms)?;
+            measure_edits(count, log_period_ms)?;
         }
     }
     measure_restart()
--- a/examples/stand_in_platform.rs
+++ b/examples/stand_in_platform.rs
@@ -1,6 +1,8 @@
-//! Runs a log, an instance list and two model engines on loopback, and writes settings and a
-//! document that fit them, so that a node and the command line can be tried without a platform:
-//! `cargo run --example stand_in_platform -- DIRECTORY`. It ends when its standard input closes.
+//! Runs a log service, an instance list and two model engines on loopback, to try a node and the
+//! command line without a platform.
+//!
+//! `cargo run --example stand_in_platform -- DIRECTORY` writes matching settings and a document to
+//! the directory and exits when its standard input closes.
 
 use coriandertide::document::hash_key;
 use coriandertide_standins::{
@@ -11,11 +13,11 @@
 use std::io::Read;
 use std::path::PathBuf;
 
-/// Key of the administrator.
+/// Bearer key of the administrator.
 const ADMIN_KEY: &str = "administrator-key";
-/// Key of the callers of workspace `survey`.
+/// Bearer key of the callers of workspace `survey`.
 const CALLER_KEY: &str = "survey-key";
-/// Administration listener of the node.
+/// Address of the node's administration API.
 const ADMIN_ADDRESS: &str = "127.0.0.1:8081";
 
 fn start_engine(name: &str) -> anyhow::Result<EngineStandIn> {
@@ -54,7 +56,7 @@
 
 fn main() -> anyhow::Result<()> {
     let directory = std::env::args_os().nth(1).map(PathBuf::from);
-    let directory = directory.ok_or_else(|| anyhow::anyhow!("name a directory"))?;
+    let directory = directory.ok_or_else(|| anyhow::anyhow!("missing argument: DIRECTORY"))?;
     let log = LogServiceStandIn::start(LogServiceConfig::default())?;
     let list = InstanceListStandIn::start(InstanceListConfig::default())?;
     let engines = [start_engine("gpu-1")?, start_engine("gpu-2")?];
--- a/examples/support/fleet.rs
+++ b/examples/support/fleet.rs
@@ -1,4 +1,4 @@
-//! Routing state at the target's size, for the bench and the memory measurement.
+//! Routing state at the target fleet size, shared by a benchmark and the capacity measurement.
 
 use coriandertide::decision::routing::{
     PrefixLevel, RouteQuery, RoutingConfig, RoutingEvent, RoutingPolicy, RoutingState, SentRequest,
@@ -11,58 +11,58 @@
 use std::sync::Arc;
 use std::time::Instant;
 
-/// Backend servers.
+/// Backend servers of the target fleet.
 const SERVERS: usize = 620;
-/// Models.
+/// Models of the target fleet.
 const MODELS: usize = 19;
-/// Workspaces.
+/// Workspaces of the target fleet.
 const WORKSPACES: usize = 810;
-/// Nodes.
+/// Nodes of the target fleet.
 const NODES: u32 = 370;
-/// Prefixes known to the state.
+/// Cached prefixes known to a node of the target fleet.
 pub const KNOWN_PREFIXES: usize = 100_000;
-/// Levels of each request.
-const LEVELS: usize = 3;
-/// Servers that hold each prefix.
-const HOLDERS: usize = 2;
+/// Prefix levels of each request.
+const LEVELS_PER_REQUEST: usize = 3;
+/// Servers that cache each prefix.
+const SERVERS_PER_PREFIX: usize = 2;
 
-/// Size of the fleet before a node.
+/// Size of the fleet that a node routes to.
 #[derive(Clone, Copy, Debug)]
 pub struct FleetSize {
     /// Backend servers.
     pub servers: usize,
-    /// Prefixes known to the node.
+    /// Cached prefixes known to the node.
     pub prefixes: usize,
 }
 
 impl FleetSize {
-    /// Size of the target.
+    /// Target size.
     pub const TARGET: Self = Self { servers: SERVERS, prefixes: KNOWN_PREFIXES };
 }
 
-/// State of a node at the target's size.
-pub struct TargetFleet {
-    /// State.
+/// Routing state of a node, filled to a given fleet size.
+pub struct FleetState {
+    /// Routing state.
     pub state: RoutingState,
-    /// Time of the last event.
+    /// Time at which all events were applied.
     pub now: Instant,
 }
 
-impl TargetFleet {
-    /// Returns a state that knows all servers and prefixes.
+impl FleetState {
+    /// Returns a state with a load report of each server and a request sent for each prefix.
     pub fn new(policy: RoutingPolicy, size: FleetSize) -> Self {
         let state = RoutingState::new(policy, "zone-0".into(), RoutingConfig::default());
         let mut fleet = Self { state, now: Instant::now() };
         fleet.apply(RoutingEvent::Document(Arc::new(document(size.servers))));
         fleet.apply(RoutingEvent::LiveNodes(NODES));
         for number in 0..size.servers {
-            let (id, asked_at) = (server(number), fleet.now);
-            fleet.apply(RoutingEvent::Load { server: id, report: report(number), asked_at });
+            let (id, asked_at) = (server_id(number), fleet.now);
+            fleet.apply(RoutingEvent::Load { server: id, report: load_report(number), asked_at });
         }
-        for number in (0..size.prefixes).step_by(LEVELS) {
-            for holder in 0..HOLDERS {
-                let levels = levels(number);
-                let server = server(number % MODELS + MODELS * holder);
+        for number in (0..size.prefixes).step_by(LEVELS_PER_REQUEST) {
+            for holder in 0..SERVERS_PER_PREFIX {
+                let levels = prefix_levels(number);
+                let server = server_id(number % MODELS + MODELS * holder);
                 fleet.apply(RoutingEvent::Sent(SentRequest { server, runner_up: None, levels }));
             }
         }
@@ -74,29 +74,29 @@
     }
 }
 
-/// Returns a question about known prefixes.
-pub fn query(number: usize) -> RouteQuery {
-    let number = number - number % LEVELS;
+/// Returns a route query whose prefixes are known to the state.
+pub fn route_query(number: usize) -> RouteQuery {
+    let number = number - number % LEVELS_PER_REQUEST;
     RouteQuery {
         request: format_smolstr!("request-{number}"),
         workspace: format_smolstr!("workspace-{}", number % WORKSPACES),
-        model: model(number % MODELS),
-        levels: levels(number),
+        model: model_id(number % MODELS),
+        levels: prefix_levels(number),
         excluded: Vec::new(),
     }
 }
 
-/// Returns the name of a server.
-pub fn server(number: usize) -> ServerId {
+/// Returns the ID of a server.
+pub fn server_id(number: usize) -> ServerId {
     format_smolstr!("server-{:03}", number % SERVERS)
 }
 
-fn model(number: usize) -> ModelId {
+fn model_id(number: usize) -> ModelId {
     format_smolstr!("model-{number:02}")
 }
 
-fn levels(number: usize) -> Vec<PrefixLevel> {
-    (0..LEVELS)
+fn prefix_levels(number: usize) -> Vec<PrefixLevel> {
+    (0..LEVELS_PER_REQUEST)
         .map(|level| PrefixLevel {
             key: ((number + level) as u64).wrapping_mul(0x9e37_79b9_7f4a_7c15),
             bytes: 8_000 * (level as u32 + 1),
@@ -107,14 +107,14 @@
 }
 
 /// Returns a load report of a server.
-pub fn report(number: usize) -> LoadReport {
+pub fn load_report(number: usize) -> LoadReport {
     LoadReport {
         incarnation: 1,
         running_requests: (number % 9) as u32,
         waiting_requests: 0,
         waiting_prompt_tokens: 0,
         models: vec![LoadedModel {
-            model: model(number % MODELS),
+            model: model_id(number % MODELS),
             weights_version: "1".into(),
             adapters: Vec::new(),
         }],
@@ -126,7 +126,7 @@
 }
 
 fn document(servers: usize) -> Document {
-    let raw_server = |number: usize| {
+    let server_entry = |number: usize| {
         let value = json!({
             "address": format!("127.0.0.1:{}", 10_000 + number),
             "availability_zone": format!("zone-{}", number % 6),
@@ -136,15 +136,16 @@
         });
         (format!("server-{number:03}"), value)
     };
-    let named = |name: &str, count: usize, width: usize| -> Map<String, Value> {
+    let empty_sections = |name: &str, count: usize, width: usize| -> Map<String, Value> {
         (0..count).map(|number| (format!("{name}-{number:0width$}"), json!({}))).collect()
     };
     let raw = json!({
-        "workspaces": named("workspace", WORKSPACES, 1),
-        "models": named("model", MODELS, 2),
-        "servers": (0..servers).map(raw_server).collect::<Map<String, Value>>(),
+        "workspaces": empty_sections("workspace", WORKSPACES, 1),
+        "models": empty_sections("model", MODELS, 2),
+        "servers": (0..servers).map(server_entry).collect::<Map<String, Value>>(),
         "site": {"budget_watts": 10_000, "max_nodes": NODES},
     });
-    let raw: RawDocument = serde_json::from_value(raw).expect("the document has the raw form");
+    let raw: RawDocument =
+        serde_json::from_value(raw).expect("the JSON deserializes as a raw document");
     Document::try_from(raw).expect("the document is valid")
 }
