--- a/examples/local_site/balancer.rs
+++ b/examples/local_site/balancer.rs
@@ -1,4 +1,4 @@
-//! Stand-in of the platform's balancer before the nodes.
+//! Stand-in for the platform's load balancer in front of the nodes.
 
 use bytes::Bytes;
 use coriandertide::adapters::http_client;
@@ -9,64 +9,64 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::{Duration, Instant};
 
-/// Time between two probes of a node.
+/// Pause between two rounds of readiness probes.
 const PROBE_PERIOD: Duration = Duration::from_millis(200);
-/// Time that a probe may take.
+/// Timeout of a readiness probe.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Balancer that spreads calls evenly over the ready nodes.
+/// Load balancer that spreads calls evenly over the ready nodes.
 #[derive(Clone, Default)]
 pub struct Balancer {
-    entries: Arc<Mutex<Vec<Arc<Entry>>>>,
+    nodes: Arc<Mutex<Vec<Arc<BalancedNode>>>>,
 }
 
-/// Node behind the balancer.
-pub struct Entry {
-    /// Callers' address.
+/// Node behind the load balancer.
+pub struct BalancedNode {
+    /// Address for callers.
     pub address: SocketAddr,
     is_ready: AtomicBool,
 }
 
 impl Balancer {
-    /// Adds a node, which gets calls once it is ready.
+    /// Adds a node, which receives calls once a probe finds it ready.
     pub fn add(&self, address: SocketAddr) {
-        let entry = Entry { address, is_ready: AtomicBool::new(false) };
-        self.lock().push(Arc::new(entry));
+        let node = BalancedNode { address, is_ready: AtomicBool::new(false) };
+        self.lock().push(Arc::new(node));
     }
 
-    /// Returns a ready node by `turn`, avoiding `avoided` if there is another.
-    pub fn pick(&self, turn: usize, avoided: Option<SocketAddr>) -> Option<Arc<Entry>> {
-        let ready: Vec<Arc<Entry>> = self
+    /// Returns the ready node at `index`, modulo their number, other than `avoided` if possible.
+    pub fn pick(&self, index: usize, avoided: Option<SocketAddr>) -> Option<Arc<BalancedNode>> {
+        let ready: Vec<Arc<BalancedNode>> = self
             .lock()
             .iter()
-            .filter(|entry| entry.is_ready.load(Ordering::Relaxed))
+            .filter(|node| node.is_ready.load(Ordering::Relaxed))
             .cloned()
             .collect();
-        let others: Vec<&Arc<Entry>> =
-            ready.iter().filter(|entry| Some(entry.address) != avoided).collect();
-        let choice = if others.is_empty() { ready.iter().collect() } else { others };
-        choice.get(turn.checked_rem(choice.len())?).map(|entry| Arc::clone(entry))
+        let others: Vec<&Arc<BalancedNode>> =
+            ready.iter().filter(|node| Some(node.address) != avoided).collect();
+        let candidates = if others.is_empty() { ready.iter().collect() } else { others };
+        candidates.get(index.checked_rem(candidates.len())?).map(|node| Arc::clone(node))
     }
 
     /// Returns the number of ready nodes.
     pub fn ready_nodes(&self) -> usize {
-        self.lock().iter().filter(|entry| entry.is_ready.load(Ordering::Relaxed)).count()
+        self.lock().iter().filter(|node| node.is_ready.load(Ordering::Relaxed)).count()
     }
 
-    /// Probes all nodes periodically, without end.
-    pub async fn probe(self) {
+    /// Probes all nodes periodically and never returns.
+    pub async fn run_probes(self) {
         loop {
-            let entries = self.lock().clone();
-            for entry in entries {
-                let is_ready = is_ready(entry.address).await;
-                entry.is_ready.store(is_ready, Ordering::Relaxed);
+            let nodes = self.lock().clone();
+            for node in nodes {
+                let is_ready = is_ready(node.address).await;
+                node.is_ready.store(is_ready, Ordering::Relaxed);
             }
             smol::Timer::after(PROBE_PERIOD).await;
         }
     }
 
-    fn lock(&self) -> std::sync::MutexGuard<'_, Vec<Arc<Entry>>> {
-        self.entries.lock().unwrap_or_else(PoisonError::into_inner)
+    fn lock(&self) -> std::sync::MutexGuard<'_, Vec<Arc<BalancedNode>>> {
+        self.nodes.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
--- a/examples/local_site/callers.rs
+++ b/examples/local_site/callers.rs
@@ -1,9 +1,9 @@
-//! Callers: each arrival is a task of its own, open loop.
+//! Callers in an open loop: each arrival runs as its own task, however long earlier ones take.
 
 use crate::document::bearer_key;
 use crate::exchange::{self, AttemptResult};
-use crate::omniscient::Omniscient;
-use crate::outcome::{CallKind, Ending, KeyedCall, Outcome, Outcomes};
+use crate::omniscient::OmniscientRouter;
+use crate::outcome::{CallKind, Ending, NonIdempotentCall, Outcome, Outcomes};
 use crate::site::Site;
 use crate::workload::{Arrival, Call, ModelCall, Workload};
 use bytes::Bytes;
@@ -15,35 +15,35 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::time::{Duration, Instant};
 
-/// Time that a call may take.
+/// Timeout of one attempt.
 const CALL_TIMEOUT: Duration = Duration::from_secs(30);
-/// Attempts of a caller whose connection broke or whose outcome is unknown.
-const MOST_ATTEMPTS: u32 = 3;
-/// Attempts of the caller of a poison request, who sends again after every ending but an answer.
-const MOST_POISON_ATTEMPTS: u32 = 5;
-/// Pause of a caller before it sends again.
-const RESEND_PAUSE: Duration = Duration::from_millis(250);
+/// Maximum attempts of a call whose connection was lost or whose outcome is unknown.
+const MAX_ATTEMPTS: u32 = 3;
+/// Maximum attempts of a poison request, which is retried after every ending but an answer.
+const MAX_POISON_ATTEMPTS: u32 = 5;
+/// Pause of a caller before a retry.
+const RETRY_PAUSE: Duration = Duration::from_millis(250);
 
-/// What all callers of a run share.
+/// State shared by all callers of a run.
 pub struct Run {
-    /// Site.
+    /// Site under test.
     pub site: Site,
-    /// Texts and arrivals.
+    /// Prompt texts and arrivals.
     pub workload: Workload,
-    /// Chooser that replaces the nodes under the omniscient policy.
-    pub omniscient: Option<Omniscient>,
-    /// Outcomes.
+    /// Router that replaces the nodes under the omniscient policy.
+    pub omniscient: Option<OmniscientRouter>,
+    /// Outcomes of the calls that have ended.
     pub outcomes: Outcomes,
-    /// Calls sent.
-    pub sent: AtomicUsize,
+    /// Number of calls sent.
+    pub sent_calls: AtomicUsize,
     /// Start of the run.
     pub started_at: Instant,
 }
 
 impl Run {
-    /// Makes the call of `arrival` and records how it ended.
+    /// Makes the call of `arrival` and records its outcome.
     pub async fn call(self: Arc<Self>, arrival: Arrival) {
-        self.sent.fetch_add(1, Ordering::Relaxed);
+        self.sent_calls.fetch_add(1, Ordering::Relaxed);
         match &arrival.call {
             Call::Model(call) => self.model_call(&arrival, call).await,
             Call::IdempotentService => self.service_call(&arrival, false).await,
@@ -51,12 +51,12 @@
         }
     }
 
-    /// Records a call that this run does not make.
-    pub fn skip(&self, arrival: &Arrival) {
+    /// Records the call of `arrival` as skipped.
+    pub fn record_skipped(&self, arrival: &Arrival) {
         self.outcomes.add(Outcome {
             kind: CallKind::Service,
-            at: arrival.at,
-            first_token: None,
+            arrival_offset: arrival.offset,
+            time_to_first_token: None,
             ending: Ending::Skipped,
             code: None,
             attempts: 0,
@@ -68,7 +68,7 @@
         let model = self.workload.model();
         let expected =
             answer::frame_texts(model, &prompt, call.max_tokens, crate::TOKENS_PER_FRAME);
-        let body = self.workload.body(arrival.workspace, call).to_string();
+        let body = self.workload.request_body(arrival.workspace, call).to_string();
         let mut last_node = None;
         let mut attempts = 0;
         let result = loop {
@@ -83,20 +83,21 @@
                         let request = self.model_request(arrival, call, &body);
                         exchange::model_attempt(address, request, &expected, deadline)
                     };
-                    self.on_node(arrival, &mut last_node, send).await
+                    self.attempt_via_balancer(arrival, &mut last_node, send).await
                 }
             };
-            if !sends_again(&result, attempts, call.is_poison) {
+            if !should_retry(&result, attempts, call.is_poison) {
                 break result;
             }
-            smol::Timer::after(RESEND_PAUSE).await;
+            smol::Timer::after(RETRY_PAUSE).await;
         };
         let kind = if call.is_poison { CallKind::Poison } else { CallKind::Model };
         self.record(arrival, kind, &result, attempts);
     }
 
-    async fn service_call(&self, arrival: &Arrival, once: bool) {
-        let key = if once { format!("call-{}", arrival.number) } else { String::new() };
+    async fn service_call(&self, arrival: &Arrival, is_non_idempotent: bool) {
+        let key =
+            if is_non_idempotent { format!("call-{}", arrival.number) } else { String::new() };
         let mut endings = Vec::new();
         let mut last_node = None;
         let result = loop {
@@ -105,23 +106,23 @@
                 let request = self.service_request(arrival, &key);
                 exchange::service_attempt(address, request, &key, deadline)
             };
-            let result = self.on_node(arrival, &mut last_node, send).await;
+            let result = self.attempt_via_balancer(arrival, &mut last_node, send).await;
             endings.push(result.ending);
             let attempts = u32::try_from(endings.len()).unwrap_or(u32::MAX);
-            if !sends_again(&result, attempts, false) {
+            if !should_retry(&result, attempts, false) {
                 break result;
             }
-            smol::Timer::after(RESEND_PAUSE).await;
+            smol::Timer::after(RETRY_PAUSE).await;
         };
         let attempts = u32::try_from(endings.len()).unwrap_or(u32::MAX);
-        if once {
-            self.outcomes.add_keyed(KeyedCall { key, endings });
+        if is_non_idempotent {
+            self.outcomes.add_non_idempotent(NonIdempotentCall { key, endings });
         }
         self.record(arrival, CallKind::Service, &result, attempts);
     }
 
-    /// Makes an attempt through the balancer, on another node than the last attempt if possible.
-    async fn on_node<F>(
+    /// Makes an attempt through the load balancer, on another node than the last one if possible.
+    async fn attempt_via_balancer<F>(
         &self,
         arrival: &Arrival,
         last_node: &mut Option<SocketAddr>,
@@ -174,12 +175,13 @@
     }
 
     fn record(&self, arrival: &Arrival, kind: CallKind, result: &AttemptResult, attempts: u32) {
-        let arrived_at = self.started_at + arrival.at;
-        let first_token = result.first_token_at.map(|at| at.saturating_duration_since(arrived_at));
+        let arrived_at = self.started_at + arrival.offset;
+        let time_to_first_token =
+            result.first_token_at.map(|at| at.saturating_duration_since(arrived_at));
         self.outcomes.add(Outcome {
             kind,
-            at: arrival.at,
-            first_token,
+            arrival_offset: arrival.offset,
+            time_to_first_token,
             ending: result.ending,
             code: result.code.clone(),
             attempts,
@@ -187,12 +189,13 @@
     }
 }
 
-fn sends_again(result: &AttemptResult, attempts: u32, is_poison: bool) -> bool {
+/// Returns whether the caller retries after `attempts` attempts.
+fn should_retry(result: &AttemptResult, attempts: u32, is_poison: bool) -> bool {
     if is_poison {
-        return result.ending != Ending::Answered && attempts < MOST_POISON_ATTEMPTS;
+        return result.ending != Ending::Answered && attempts < MAX_POISON_ATTEMPTS;
     }
-    // A key in use or used elsewhere will not give another answer.
-    let is_claimed = result.code.as_deref() == Some("key_already_used");
+    // A retry is refused again if the key is in use or belongs to another call.
+    let is_key_used = result.code.as_deref() == Some("key_already_used");
     let may_have_run = matches!(result.ending, Ending::ConnectionLost | Ending::OutcomeUnknown);
-    may_have_run && !is_claimed && attempts < MOST_ATTEMPTS
+    may_have_run && !is_key_used && attempts < MAX_ATTEMPTS
 }
--- a/examples/local_site/document.rs
+++ b/examples/local_site/document.rs
@@ -1,6 +1,6 @@
-//! First document of a site.
+//! Initial configuration document of a site.
 
-use crate::preset::{IDLE_WATTS, REQUEST_WATTS, WORKSPACE_SHARES};
+use crate::preset::{IDLE_WATTS, REQUEST_WATTS, WORKSPACE_PERCENT};
 use crate::site::Site;
 use coriandertide::document::raw::{
     RawCallPattern, RawDocument, RawModel, RawScoreWeights, RawServer, RawService,
@@ -10,22 +10,22 @@
 use coriandertide::types::Priority;
 use smol_str::{SmolStr, ToSmolStr, format_smolstr};
 
-/// Nodes beyond those running that the document allows, for restarts.
+/// Nodes that the document allows in addition to the running ones, for restarts.
 const SPARE_NODES: u32 = 2;
-/// Factor of a workspace's limits over its share of the capacity.
-const LIMIT_FACTOR: f64 = 4.0;
+/// Factor of a workspace's request rate limit over its fraction of the capacity.
+const RATE_LIMIT_FACTOR: f64 = 4.0;
 
-/// Returns the bearer key of a workspace.
+/// Returns the bearer key of a workspace's callers.
 pub fn bearer_key(workspace: usize) -> String {
     format!("local-site-key-{workspace}")
 }
 
-/// Returns the first document of `site`.
-pub fn first(site: &Site, nodes: usize) -> anyhow::Result<RawDocument> {
+/// Returns the initial document of `site`.
+pub fn initial_document(site: &Site, nodes: usize) -> anyhow::Result<RawDocument> {
     let mut document = RawDocument { site: raw_site(site, nodes)?, ..RawDocument::default() };
-    for (workspace, share) in WORKSPACE_SHARES.into_iter().enumerate() {
+    for (workspace, percent) in WORKSPACE_PERCENT.into_iter().enumerate() {
         let name = format_smolstr!("team-{workspace}");
-        document.workspaces.insert(name, raw_workspace(site, workspace, share));
+        document.workspaces.insert(name, raw_workspace(site, workspace, percent));
     }
     document.models.insert(site.preset.model.into(), raw_model(site));
     for engine in &site.engines {
@@ -34,7 +34,7 @@
             address: engine.address().to_smolstr(),
             availability_zone: config.availability_zone.to_smolstr(),
             checks_fencing: config.checks_fencing,
-            concurrent_requests: site.preset.running_requests,
+            concurrent_requests: site.preset.max_running_requests,
             model_slots: 1,
             idle_watts: IDLE_WATTS,
             request_watts: REQUEST_WATTS,
@@ -45,12 +45,12 @@
     Ok(document)
 }
 
-fn raw_workspace(site: &Site, workspace: usize, share: u32) -> RawWorkspace {
-    let rate_per_s = site.preset.capacity_per_s() * f64::from(share) / 100.0;
+fn raw_workspace(site: &Site, workspace: usize, percent: u32) -> RawWorkspace {
+    let rate_per_s = site.preset.capacity_per_s() * f64::from(percent) / 100.0;
     RawWorkspace {
         key_hashes: vec![hash_key(&bearer_key(workspace))],
-        requests_per_s: (rate_per_s * LIMIT_FACTOR).ceil() as u32,
-        concurrent_requests: site.preset.engines * site.preset.running_requests,
+        requests_per_s: (rate_per_s * RATE_LIMIT_FACTOR).ceil() as u32,
+        concurrent_requests: site.preset.engines * site.preset.max_running_requests,
         tokens_per_s: 10_000_000,
         default_priority: Priority::Normal,
         highest_priority: Priority::Interactive,
@@ -92,7 +92,7 @@
     }
 }
 
-/// Returns the section `site` of the document.
+/// Returns the document's section `site` for `nodes` running nodes.
 pub fn raw_site(site: &Site, nodes: usize) -> anyhow::Result<RawSite> {
     let zones = site.preset.zones;
     let mut zone_links = Vec::new();
--- a/examples/local_site/exchange.rs
+++ b/examples/local_site/exchange.rs
@@ -1,4 +1,4 @@
-//! One attempt of a caller: sends a request and checks what comes back.
+//! One attempt of a caller: sends a request and checks the response.
 
 use crate::outcome::Ending;
 use bytes::Bytes;
@@ -9,17 +9,17 @@
 use std::net::SocketAddr;
 use std::time::Instant;
 
-/// Largest body of an error or of a service's answer.
-const BODY_LIMIT_BYTES: usize = 1 << 20;
+/// Maximum size of an error body or of a service's answer.
+const MAX_BODY_BYTES: usize = 1 << 20;
 
-/// What came of an attempt.
+/// Result of an attempt.
 #[derive(Clone, Debug)]
 pub struct AttemptResult {
-    /// Ending.
+    /// How the attempt ended.
     pub ending: Ending,
-    /// Code of the error, if one was given.
+    /// Error code, if an error was received.
     pub code: Option<String>,
-    /// When the first token came.
+    /// Time at which the first token was received.
     pub first_token_at: Option<Instant>,
 }
 
@@ -29,7 +29,7 @@
     }
 }
 
-/// Sends a model request and checks the stream against the expected pieces.
+/// Sends a model request and checks the stream against the expected frame texts.
 pub async fn model_attempt(
     address: SocketAddr,
     request: Request<Full<Bytes>>,
@@ -40,7 +40,7 @@
         return AttemptResult::new(Ending::ConnectionLost);
     };
     if !exchange.status.is_success() {
-        return refusal(&mut exchange, deadline).await;
+        return read_error(&mut exchange, deadline).await;
     }
     let mut checker = StreamChecker::new(expected);
     loop {
@@ -52,7 +52,7 @@
     }
 }
 
-/// Sends a service call and reads its answer, which must carry the same key.
+/// Sends a service call and checks that its answer names the same idempotency key.
 pub async fn service_attempt(
     address: SocketAddr,
     request: Request<Full<Bytes>>,
@@ -63,20 +63,21 @@
         return AttemptResult::new(Ending::ConnectionLost);
     };
     if !exchange.status.is_success() {
-        return refusal(&mut exchange, deadline).await;
+        return read_error(&mut exchange, deadline).await;
     }
-    let Ok(body) = exchange.read_all(BODY_LIMIT_BYTES, deadline).await else {
+    let Ok(body) = exchange.read_all(MAX_BODY_BYTES, deadline).await else {
         return AttemptResult::new(Ending::ConnectionLost);
     };
     let answer: Value = serde_json::from_slice(&body).unwrap_or(Value::Null);
-    let is_own = answer["idempotency_key"].as_str() == Some(key);
-    AttemptResult::new(if is_own { Ending::Answered } else { Ending::Wrong })
+    let has_same_key = answer["idempotency_key"].as_str() == Some(key);
+    AttemptResult::new(if has_same_key { Ending::Answered } else { Ending::Wrong })
 }
 
-async fn refusal(exchange: &mut Exchange, deadline: Instant) -> AttemptResult {
-    let body = exchange.read_all(BODY_LIMIT_BYTES, deadline).await.unwrap_or_default();
+/// Reads an error response and derives the ending from it.
+async fn read_error(exchange: &mut Exchange, deadline: Instant) -> AttemptResult {
+    let body = exchange.read_all(MAX_BODY_BYTES, deadline).await.unwrap_or_default();
     let body: Value = serde_json::from_slice(&body).unwrap_or(Value::Null);
-    // An engine reached without a node says by its status that it did not run the request.
+    // An engine that is called directly reports a full queue without the field `run`.
     let is_queue_full = body["error"]["code"] == "queue_full";
     let ending = match body["error"]["run"].as_str() {
         Some("not_run") => Ending::NotRun,
@@ -87,11 +88,11 @@
     AttemptResult { ending, code, first_token_at: None }
 }
 
-/// Checks the events of a stream as they come.
+/// Checks the events of a stream as they are received.
 struct StreamChecker<'a> {
     expected: &'a [String],
-    unread: Vec<u8>,
-    pieces: usize,
+    buffer: Vec<u8>,
+    received_texts: usize,
     is_wrong: bool,
     is_done: bool,
     error_code: Option<String>,
@@ -102,8 +103,8 @@
     fn new(expected: &'a [String]) -> Self {
         Self {
             expected,
-            unread: Vec::new(),
-            pieces: 0,
+            buffer: Vec::new(),
+            received_texts: 0,
             is_wrong: false,
             is_done: false,
             error_code: None,
@@ -112,16 +113,16 @@
     }
 
     fn push(&mut self, data: &[u8]) {
-        self.unread.extend_from_slice(data);
-        while let Some(end) = self.unread.iter().position(|byte| *byte == b'\n') {
-            let line: Vec<u8> = self.unread.drain(..=end).collect();
+        self.buffer.extend_from_slice(data);
+        while let Some(end) = self.buffer.iter().position(|byte| *byte == b'\n') {
+            let line: Vec<u8> = self.buffer.drain(..=end).collect();
             if let Some(data) = line.strip_prefix(b"data: ") {
-                self.event(data.trim_ascii_end());
+                self.check_event(data.trim_ascii_end());
             }
         }
     }
 
-    fn event(&mut self, data: &[u8]) {
+    fn check_event(&mut self, data: &[u8]) {
         if data == b"[DONE]" {
             self.is_done = true;
             return;
@@ -131,21 +132,23 @@
             self.error_code = Some(code.to_owned());
             return;
         }
-        let Some(piece) = chunk["choices"][0]["delta"]["content"].as_str() else { return };
+        let Some(text) = chunk["choices"][0]["delta"]["content"].as_str() else { return };
         self.first_token_at.get_or_insert_with(Instant::now);
-        let is_next = self.expected.get(self.pieces).is_some_and(|expected| expected == piece);
+        let is_next =
+            self.expected.get(self.received_texts).is_some_and(|expected| expected == text);
         self.is_wrong |= !is_next || self.is_done;
-        self.pieces += 1;
+        self.received_texts += 1;
     }
 
-    fn finish(self, without_end: Ending) -> AttemptResult {
+    /// Returns the result; `incomplete` is the ending of a stream without an end mark or error.
+    fn finish(self, incomplete: Ending) -> AttemptResult {
         let ending = if self.is_wrong {
             Ending::Wrong
         } else if self.error_code.is_some() {
             Ending::OutcomeUnknown
         } else if !self.is_done {
-            without_end
-        } else if self.pieces == self.expected.len() {
+            incomplete
+        } else if self.received_texts == self.expected.len() {
             Ending::Answered
         } else {
             Ending::Wrong
--- a/examples/local_site/fault_report.rs
+++ b/examples/local_site/fault_report.rs
@@ -1,96 +1,99 @@
-//! What faults did to callers and to the site.
+//! Effects of the injected faults on callers and on the site.
 
 use crate::callers::Run;
 use crate::faults;
 use crate::options::Fault;
 use crate::outcome::{Ending, Outcome};
-use crate::report::{WARM_UP_SHARE, first_tokens, percentile_ms};
+use crate::report::{WARM_UP_FRACTION, percentile_ms, times_to_first_token};
 use serde::Serialize;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Window over which the tail is followed.
+/// Length of the windows whose tail latency is computed.
 const WINDOW: Duration = Duration::from_secs(1);
-/// Factor on the tail before the fault above which a window counts as disturbed.
+/// Factor over the tail latency before the fault above which a window counts as disturbed.
 const DISTURBED_FACTOR: f64 = 2.0;
-/// Time after which a lowered budget and a leaving server must show.
+/// Time after which a lowered budget and a leaving server must have taken effect.
 pub const SETTLE_TIME: Duration = Duration::from_secs(5);
 
-/// Figures of the faults of a run.
+/// Effects of the faults of a run, written as JSON.
 #[derive(Clone, Debug, Serialize)]
 pub struct FaultReport {
-    /// Time of the fault from the start.
+    /// Time of the fault since the start of the run.
     pub at_s: f64,
-    /// Tail of the first token before the fault.
+    /// 95th percentile of the time to first token before the fault.
     pub p95_before_ms: f64,
-    /// Worst tail of a one-second window after it.
+    /// Highest 95th percentile of a one-second window after the fault.
     pub worst_window_p95_ms: f64,
-    /// Windows after the fault whose tail is over twice that before.
+    /// Windows after the fault whose 95th percentile is more than twice that before it.
     pub disturbed_windows: usize,
     /// Seconds from the fault to the end of the last disturbed window.
     pub recovery_s: f64,
-    /// Endings of the calls that arrived after the fault.
+    /// Number of calls that arrived after the fault, by ending.
     pub endings: BTreeMap<Ending, usize>,
-    /// Calls after the fault that no attempt of their caller got answered.
+    /// Calls that arrived after the fault and were not answered.
     pub lost: usize,
     /// Requests that the leaving server accepted after the settle time.
     pub accepted_while_leaving: Option<u64>,
-    /// Highest draw after the settle time of a power cut.
+    /// Highest power draw after the settle time of a power cut.
     pub peak_watts_after_cut: Option<u64>,
-    /// Budget after a power cut.
+    /// Power budget after a power cut.
     pub cut_budget_watts: Option<u64>,
-    /// What was not measured.
+    /// Effects that the run did not measure.
     pub not_measured: Vec<&'static str>,
 }
 
-/// What was read from the site while the faults ran.
+/// Readings taken from the site during the run.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct FaultReadings {
-    /// Requests accepted by the leaving server at the settle time.
+    /// Requests accepted by the leaving server up to the settle time.
     pub accepted_at_settle: Option<u64>,
 }
 
 impl FaultReport {
-    /// Returns the figures of a run that has ended.
+    /// Returns the report of a completed run, or `None` if no faults were injected.
     pub fn new(run: &Run, injected: &[Fault], readings: FaultReadings) -> Option<Self> {
         if injected.is_empty() {
             return None;
         }
-        let outcomes = run.outcomes.sorted();
-        let fault_at = run.workload.fault_at();
-        let end = run.workload.end();
-        let before = first_tokens(&outcomes, end.mul_f64(WARM_UP_SHARE)..fault_at);
-        let p95_before_ms = percentile_ms(&before, 0.95);
-        let windows = windows(&outcomes, fault_at, end);
+        let outcomes = run.outcomes.sorted_by_arrival();
+        let fault_offset = run.workload.fault_offset();
+        let duration = run.workload.duration();
+        let times_before =
+            times_to_first_token(&outcomes, duration.mul_f64(WARM_UP_FRACTION)..fault_offset);
+        let p95_before_ms = percentile_ms(&times_before, 0.95);
+        let window_p95s_ms = window_p95s_ms(&outcomes, fault_offset, duration);
         let is_disturbed = |p95_ms: &f64| *p95_ms > p95_before_ms * DISTURBED_FACTOR;
-        let last_disturbed = windows.iter().rposition(is_disturbed);
-        let recovery = last_disturbed.map_or(0, |window| window + 1);
+        let last_disturbed = window_p95s_ms.iter().rposition(is_disturbed);
+        let recovery_windows = last_disturbed.map_or(0, |window| window + 1);
         let after: Vec<&Outcome> =
-            outcomes.iter().filter(|outcome| outcome.at >= fault_at).collect();
+            outcomes.iter().filter(|outcome| outcome.arrival_offset >= fault_offset).collect();
         let mut endings = BTreeMap::new();
         for outcome in &after {
             *endings.entry(outcome.ending).or_default() += 1;
         }
-        let accepted = run.site.engines.first().map(|engine| engine.accepted_requests());
-        let accepted_while_leaving =
-            readings.accepted_at_settle.and_then(|settled| Some(accepted?.saturating_sub(settled)));
-        let is_cut = injected.contains(&Fault::PowerCut);
+        let accepted_total = run.site.engines.first().map(|engine| engine.accepted_requests());
+        let accepted_while_leaving = readings
+            .accepted_at_settle
+            .and_then(|settled| Some(accepted_total?.saturating_sub(settled)));
+        let has_power_cut = injected.contains(&Fault::PowerCut);
         Some(Self {
-            at_s: fault_at.as_secs_f64(),
+            at_s: fault_offset.as_secs_f64(),
             p95_before_ms,
-            worst_window_p95_ms: windows.iter().copied().fold(0.0, f64::max),
-            disturbed_windows: windows.iter().filter(|p95_ms| is_disturbed(p95_ms)).count(),
-            recovery_s: recovery as f64 * WINDOW.as_secs_f64(),
+            worst_window_p95_ms: window_p95s_ms.iter().copied().fold(0.0, f64::max),
+            disturbed_windows: window_p95s_ms.iter().filter(|p95_ms| is_disturbed(p95_ms)).count(),
+            recovery_s: recovery_windows as f64 * WINDOW.as_secs_f64(),
             endings,
             lost: after.iter().filter(|outcome| outcome.ending != Ending::Answered).count(),
             accepted_while_leaving,
-            peak_watts_after_cut: is_cut.then(|| run.site.ground_truth.peak_watts()),
-            cut_budget_watts: is_cut.then(|| u64::from(faults::cut_budget_watts(&run.site))),
+            peak_watts_after_cut: has_power_cut.then(|| run.site.ground_truth.peak_watts()),
+            cut_budget_watts: has_power_cut
+                .then(|| u64::from(faults::lowered_budget_watts(&run.site))),
             not_measured: not_measured(injected),
         })
     }
 
-    /// Returns what must never happen and did.
+    /// Returns a description of the first violated invariant, if any.
     pub fn violation(&self) -> Option<String> {
         if let (Some(peak), Some(budget)) = (self.peak_watts_after_cut, self.cut_budget_watts)
             && peak > budget
@@ -102,16 +105,16 @@
     }
 }
 
-/// Returns the tail of the first token in each window after the fault.
-fn windows(outcomes: &[Outcome], fault_at: Duration, end: Duration) -> Vec<f64> {
-    let mut tails = Vec::new();
-    let mut start = fault_at;
+/// Returns the 95th percentile of the time to first token in each window after the fault.
+fn window_p95s_ms(outcomes: &[Outcome], fault_offset: Duration, end: Duration) -> Vec<f64> {
+    let mut p95s_ms = Vec::new();
+    let mut start = fault_offset;
     while start < end {
-        let times = first_tokens(outcomes, start..start + WINDOW);
-        tails.push(percentile_ms(&times, 0.95));
+        let times = times_to_first_token(outcomes, start..start + WINDOW);
+        p95s_ms.push(percentile_ms(&times, 0.95));
         start += WINDOW;
     }
-    tails
+    p95s_ms
 }
 
 fn not_measured(injected: &[Fault]) -> Vec<&'static str> {
--- a/examples/local_site/faults.rs
+++ b/examples/local_site/faults.rs
@@ -10,79 +10,82 @@
 use std::thread;
 use std::time::Duration;
 
-/// Time that a crashed engine is down.
-const CRASH_DOWN: Duration = Duration::from_millis(1_000);
-/// Length of outages of the log.
-const LOG_FAULT: Duration = Duration::from_secs(5);
-/// Length of a pause of a node and of a partition.
-const PAUSE: Duration = Duration::from_secs(3);
-/// Share of cache events lost.
-const EVENT_LOSS: f64 = 0.33;
-/// Additional lag of load reports.
+/// Downtime of a crashed engine.
+const CRASH_DOWNTIME: Duration = Duration::from_millis(1_000);
+/// Duration of faults of the log.
+const LOG_FAULT_PERIOD: Duration = Duration::from_secs(5);
+/// Duration of a node pause and of a partition.
+const PAUSE_PERIOD: Duration = Duration::from_secs(3);
+/// Fraction of cache events lost.
+const EVENT_LOSS_FRACTION: f64 = 0.33;
+/// Additional age of load reports.
 const EXTRA_LOAD_LAG_MS: u64 = 2_000;
-/// Draw of work that a power cut leaves, in percent.
-const LEFT_WORK_PERCENT: u32 = 75;
+/// Percentage of the power for running requests that remains after [`Fault::PowerCut`].
+const REMAINING_REQUEST_POWER_PERCENT: u32 = 75;
 
-/// Injects `fault`; returns when it is over. Blocks its thread.
+/// Injects `fault` and blocks until a fault of limited duration is over.
 pub fn inject(site: &Site, fault: Fault, nodes: usize) -> anyhow::Result<()> {
     log::info!("event=fault_injected fault={fault}");
     match fault {
-        Fault::EngineCrash => site.engines[0].crash(CRASH_DOWN),
+        Fault::EngineCrash => site.engines[0].crash(CRASH_DOWNTIME),
         Fault::EventGaps => {
-            set_engine_faults(site, EngineFaults { event_loss_fraction: EVENT_LOSS, ..healthy() });
+            set_engine_faults(
+                site,
+                EngineFaults { event_loss_fraction: EVENT_LOSS_FRACTION, ..no_faults() },
+            );
         }
         Fault::LoadLag => {
-            let faults = EngineFaults { extra_load_lag_ms: EXTRA_LOAD_LAG_MS, ..healthy() };
+            let faults = EngineFaults { extra_load_lag_ms: EXTRA_LOAD_LAG_MS, ..no_faults() };
             set_engine_faults(site, faults);
         }
-        // Both are part of the traffic itself.
+        // The workload contains both of these.
         Fault::HotShift | Fault::Poison => {}
         Fault::NodeRestart => {
             site.start_node()?;
-            site.take_node().context("a node to drain")?.drain();
+            site.remove_oldest_node().context("no node to drain")?.drain();
         }
         Fault::NodeKill => {
-            site.take_node().context("a node to kill")?.kill();
+            site.remove_oldest_node().context("no node to kill")?.kill();
             site.start_node()?;
         }
         Fault::HerdRestart => {
-            for node in site.take_nodes() {
+            for node in site.remove_all_nodes() {
                 node.kill();
             }
             for _ in 0..nodes {
                 site.start_node()?;
             }
         }
-        Fault::NodePause => site.freeze_node(PAUSE),
+        Fault::NodePause => site.freeze_node(PAUSE_PERIOD),
         Fault::LogOutage => {
-            with_log_faults(site, LogFaults { outage: true, ..LogFaults::default() });
+            apply_log_faults(site, LogFaults { outage: true, ..LogFaults::default() });
         }
         Fault::LostAppendAnswer => {
             let faults = LogFaults { lose_append_answers: true, ..LogFaults::default() };
-            with_log_faults(site, faults);
+            apply_log_faults(site, faults);
         }
         Fault::Partition => {
             let zone = site.preset.zones[0];
             site.zone_delays.set_cut(zone, true);
-            thread::sleep(PAUSE);
+            thread::sleep(PAUSE_PERIOD);
             site.zone_delays.set_cut(zone, false);
         }
-        Fault::PowerCut => cut_power(site, nodes)?,
+        Fault::PowerCut => lower_power_budget(site, nodes)?,
         Fault::ServerLeaving => {
-            site.instance_list.put(site.server_record(&site.engines[0], "leaving"));
+            site.instance_list.put(site.server_instance(&site.engines[0], "leaving"));
         }
     }
     Ok(())
 }
 
-/// Returns the budget after [`Fault::PowerCut`].
-pub fn cut_budget_watts(site: &Site) -> u32 {
+/// Returns the power budget after [`Fault::PowerCut`].
+pub fn lowered_budget_watts(site: &Site) -> u32 {
     let preset = &site.preset;
-    let idle = preset.engines * crate::preset::IDLE_WATTS;
-    idle + (preset.budget_watts() - idle) * LEFT_WORK_PERCENT / 100
+    let idle_watts = preset.engines * crate::preset::IDLE_WATTS;
+    idle_watts + (preset.budget_watts() - idle_watts) * REMAINING_REQUEST_POWER_PERCENT / 100
 }
 
-fn healthy() -> EngineFaults {
+fn no_faults() -> EngineFaults {
     EngineFaults::default()
 }
 
@@ -92,17 +95,19 @@
     }
 }
 
-fn with_log_faults(site: &Site, faults: LogFaults) {
+fn apply_log_faults(site: &Site, faults: LogFaults) {
     site.log.set_faults(faults);
-    thread::sleep(LOG_FAULT);
+    thread::sleep(LOG_FAULT_PERIOD);
     site.log.set_faults(LogFaults::default());
 }
 
-/// Publishes an edit that lowers the budget, made on the first document.
-fn cut_power(site: &Site, nodes: usize) -> anyhow::Result<()> {
+/// Appends an edit of the initial document that lowers the power budget.
+fn lower_power_budget(site: &Site, nodes: usize) -> anyhow::Result<()> {
     let section = crate::document::raw_site(site, nodes)?;
-    let section =
-        coriandertide::document::raw::RawSite { budget_watts: cut_budget_watts(site), ..section };
+    let section = coriandertide::document::raw::RawSite {
+        budget_watts: lowered_budget_watts(site),
+        ..section
+    };
     let change = SectionChange {
         section: SmolStr::new_static("site"),
         base_revision: 1,
--- a/examples/local_site/main.rs
+++ b/examples/local_site/main.rs
@@ -1,7 +1,8 @@
-//! Runs a whole site in one process: stand-ins, nodes and callers over sockets on loopback.
+//! Runs a complete site in one process: stand-ins, nodes and callers over loopback sockets.
 //!
 //! Every answer is checked. The exit code is not zero if an answer was wrong, cut or out of order,
-//! if a non-idempotent call ran twice, or if the site drew more power than its budget.
+//! if a non-idempotent call ran twice, if the site drew more power than its budget, or on any other
+//! violation listed in `PolicyReport::violations`.
 
 mod balancer;
 mod callers;
@@ -22,7 +23,7 @@
 use options::options;
 use std::process::ExitCode;
 
-/// Tokens in each frame of the engines.
+/// Tokens in each frame of a stream.
 pub const TOKENS_PER_FRAME: u32 = 4;
 
 fn main() -> ExitCode {
@@ -43,13 +44,13 @@
     }
 }
 
-/// Runs each policy in turn and returns what was violated.
+/// Runs each policy in turn and returns a description of each violation.
 fn run_all(options: &options::Options) -> anyhow::Result<Vec<String>> {
     let mut reports = Vec::new();
     for policy in options.policy.policies() {
         reports.push(run::run_policy(policy, options)?);
     }
-    table::print(&reports);
+    table::print_reports(&reports);
     if let Some(path) = &options.report {
         std::fs::write(path, serde_json::to_vec_pretty(&reports)?)?;
     }
--- a/examples/local_site/options.rs
+++ b/examples/local_site/options.rs
@@ -1,15 +1,15 @@
-//! Command line of the example.
+//! Command-line options of the example.
 
 use crate::preset::SiteName;
 use bpaf::Bpaf;
 use std::path::PathBuf;
 use strum::{Display, EnumIter, EnumString, IntoStaticStr};
 
-/// Runs a whole site on loopback, with traffic, and checks every answer.
+/// Runs a complete site on loopback, with traffic, and checks every answer.
 #[derive(Bpaf, Clone, Debug)]
 #[bpaf(options)]
 pub struct Options {
-    /// Arrivals to send; by default those of 20 seconds
+    /// Number of calls to send; defaults to 20 seconds of traffic
     #[bpaf(argument("N"))]
     pub requests: Option<usize>,
     /// Nodes to start
@@ -24,37 +24,37 @@
     /// Site: conteo or ramsaran
     #[bpaf(argument("NAME"), fallback(SiteName::Conteo), display_fallback)]
     pub site: SiteName,
-    /// Arrival rate as a share of the site's capacity
+    /// Arrival rate as a fraction of the site's capacity
     #[bpaf(argument("SHARE"), fallback(0.5), display_fallback)]
     pub load: f64,
     /// Faults to inject, such as engine_crash or node_kill
     #[bpaf(argument("NAME"), many)]
     pub fault: Vec<Fault>,
-    /// Give the nodes the store of kept KV cache
+    /// Give the nodes and engines an external KV store
     pub kv_store: bool,
-    /// Bytes a second that a node may spend on load reports and cache events
+    /// Bytes per second that a node may spend on polling load reports and cache events
     #[bpaf(argument("N"))]
     pub poll_bytes_per_s: Option<u32>,
-    /// File for the report in JSON
+    /// File to write the JSON report to
     #[bpaf(argument("FILE"))]
     pub report: Option<PathBuf>,
 }
 
-/// Policies that can be asked for.
+/// Routing policy to run, or all of them.
 #[derive(Clone, Copy, Debug, Display, EnumString, Eq, PartialEq)]
 #[strum(serialize_all = "snake_case")]
 pub enum PolicyChoice {
-    /// Servers in turn.
+    /// Round robin over the servers.
     RoundRobin,
-    /// Fewest requests under way.
+    /// The server with the fewest outstanding requests.
     LeastOutstanding,
-    /// Consistent hash of the first level.
+    /// Consistent hash of the first prefix level.
     PrefixHash,
-    /// The product's policy.
+    /// The policy of the product.
     Coriandertide,
-    /// Greedy choice with the true caches and queues.
+    /// Greedy choice that knows the actual caches and queues of all engines.
     Omniscient,
-    /// Each of the others in turn.
+    /// All other policies, one after the other.
     All,
 }
 
@@ -69,7 +69,7 @@
                 Self::Coriandertide,
                 Self::Omniscient,
             ],
-            one => vec![one],
+            policy => vec![policy],
         }
     }
 }
@@ -78,39 +78,39 @@
 #[derive(Clone, Copy, Debug, Display, EnumIter, EnumString, Eq, IntoStaticStr, PartialEq)]
 #[strum(serialize_all = "snake_case")]
 pub enum Fault {
-    /// An engine crashes and comes back empty.
+    /// An engine crashes and restarts with an empty cache.
     EngineCrash,
-    /// A third of the cache events is lost.
+    /// A third of the cache events are lost.
     EventGaps,
-    /// Other documents become the popular ones.
+    /// The popularity of the documents is reversed.
     HotShift,
-    /// Load reports lag by two more seconds.
+    /// Load reports are two seconds older.
     LoadLag,
     /// A node drains and a new one starts.
     NodeRestart,
-    /// Requests that crash each engine that runs them, sent again by their caller.
+    /// Callers send requests that crash the engine, and retry them.
     Poison,
-    /// The log answers nothing for five seconds.
+    /// The log refuses all calls for five seconds.
     LogOutage,
     /// A node stops abruptly and a new one starts.
     NodeKill,
-    /// All threads of a node stand still for three seconds.
+    /// All threads of a node pause for three seconds.
     NodePause,
-    /// The engines of an availability zone cannot be reached from the others for three seconds.
+    /// The links to the engines of an availability zone are cut for three seconds.
     Partition,
-    /// Appends take effect but their answers are lost for five seconds.
+    /// Appends to the log take effect but their answers are lost for five seconds.
     LostAppendAnswer,
     /// All nodes stop abruptly at once and new ones start.
     HerdRestart,
-    /// The document lowers the power budget by a quarter of the draw of work.
+    /// An edit lowers the power budget by a quarter of what running requests may draw.
     PowerCut,
-    /// A backend server is listed as leaving.
+    /// The instance list shows a backend server as leaving.
     ServerLeaving,
 }
 
 impl Fault {
-    /// Returns whether callers may lose their connection to a node through this fault.
-    pub fn cuts_callers(self) -> bool {
+    /// Returns whether callers may lose their connection to a node under this fault.
+    pub fn breaks_caller_connections(self) -> bool {
         matches!(self, Self::NodeKill | Self::HerdRestart)
     }
 }
--- a/examples/local_site/outcome.rs
+++ b/examples/local_site/outcome.rs
@@ -1,4 +1,4 @@
-//! Endings of calls, as their callers saw them.
+//! Outcomes of calls as seen by their callers.
 
 use serde::Serialize;
 use std::collections::BTreeMap;
@@ -24,19 +24,19 @@
 #[serde(rename_all = "snake_case")]
 #[strum(serialize_all = "snake_case")]
 pub enum Ending {
-    /// The whole answer to the caller's own request, in order.
+    /// The complete answer to the caller's own request, in order.
     Answered,
-    /// Refused, with word that it was not run.
+    /// An error that says that the call was not run.
     NotRun,
-    /// An explicit error that says the outcome is unknown.
+    /// An error that says that the outcome is unknown.
     OutcomeUnknown,
-    /// The connection to the node broke.
+    /// The connection to the node was lost.
     ConnectionLost,
-    /// The stream ended without its end mark and without an error.
+    /// The stream ended without an end mark or an error.
     Cut,
-    /// Not made: the run has no node that could take it.
+    /// Not sent, since the run has no nodes.
     Skipped,
-    /// Pieces are missing, doubled or out of order, or belong to another request.
+    /// Frames are missing, duplicated, out of order or part of another answer.
     Wrong,
 }
 
@@ -45,75 +45,75 @@
 pub enum CallKind {
     /// Model request.
     Model,
-    /// Model request that crashes engines.
+    /// Model request that crashes the engine.
     Poison,
     /// Service call.
     Service,
 }
 
-/// Call that has ended.
+/// Outcome of a call after the last attempt of its caller.
 #[derive(Clone, Debug)]
 pub struct Outcome {
-    /// Kind.
+    /// Kind of the call.
     pub kind: CallKind,
-    /// Time of the arrival from the start of the run.
-    pub at: Duration,
-    /// Time to the first token.
-    pub first_token: Option<Duration>,
-    /// Ending of the last attempt of the caller.
+    /// Time of the arrival since the start of the run.
+    pub arrival_offset: Duration,
+    /// Time from the arrival to the first token, if one was received.
+    pub time_to_first_token: Option<Duration>,
+    /// Ending of the last attempt.
     pub ending: Ending,
-    /// Code of the error that the caller got.
+    /// Error code of the last attempt.
     pub code: Option<String>,
-    /// Attempts of the caller.
+    /// Number of attempts.
     pub attempts: u32,
 }
 
-/// Non-idempotent call, to be compared with the runs that the services counted.
+/// Non-idempotent call, to compare with the runs counted by the services.
 #[derive(Clone, Debug)]
-pub struct KeyedCall {
+pub struct NonIdempotentCall {
     /// Idempotency key.
     pub key: String,
-    /// Endings of all attempts of the caller.
+    /// Endings of all attempts.
     pub endings: Vec<Ending>,
 }
 
-/// Collector of outcomes.
+/// Collects the outcomes of a run.
 #[derive(Default)]
 pub struct Outcomes {
-    ended: Mutex<Vec<Outcome>>,
-    keyed: Mutex<Vec<KeyedCall>>,
+    outcomes: Mutex<Vec<Outcome>>,
+    non_idempotent_calls: Mutex<Vec<NonIdempotentCall>>,
 }
 
 impl Outcomes {
     /// Adds an outcome.
     pub fn add(&self, outcome: Outcome) {
-        lock(&self.ended).push(outcome);
+        lock(&self.outcomes).push(outcome);
     }
 
     /// Adds a non-idempotent call.
-    pub fn add_keyed(&self, call: KeyedCall) {
-        lock(&self.keyed).push(call);
+    pub fn add_non_idempotent(&self, call: NonIdempotentCall) {
+        lock(&self.non_idempotent_calls).push(call);
     }
 
-    /// Returns the number of ended calls by ending.
-    pub fn endings(&self) -> BTreeMap<Ending, usize> {
+    /// Returns the number of outcomes by ending.
+    pub fn ending_counts(&self) -> BTreeMap<Ending, usize> {
         let mut counts = BTreeMap::new();
-        for outcome in lock(&self.ended).iter() {
+        for outcome in lock(&self.outcomes).iter() {
             *counts.entry(outcome.ending).or_default() += 1;
         }
         counts
     }
 
-    /// Returns all outcomes in order of arrival.
-    pub fn sorted(&self) -> Vec<Outcome> {
-        let mut outcomes = lock(&self.ended).clone();
-        outcomes.sort_by_key(|outcome| outcome.at);
+    /// Returns all outcomes, sorted by arrival.
+    pub fn sorted_by_arrival(&self) -> Vec<Outcome> {
+        let mut outcomes = lock(&self.outcomes).clone();
+        outcomes.sort_by_key(|outcome| outcome.arrival_offset);
         outcomes
     }
 
     /// Returns all non-idempotent calls.
-    pub fn keyed(&self) -> Vec<KeyedCall> {
-        lock(&self.keyed).clone()
+    pub fn non_idempotent_calls(&self) -> Vec<NonIdempotentCall> {
+        lock(&self.non_idempotent_calls).clone()
     }
 }
 
--- a/examples/local_site/preset.rs
+++ b/examples/local_site/preset.rs
@@ -1,13 +1,13 @@
-//! Sites of the two companies: sizes, engines, workspaces and traffic.
+//! Presets of two sites: sizes, engines, workspaces and traffic.
 
 use strum::{Display, EnumString};
 
-/// Bytes of prompt that count as a token.
+/// Bytes of a prompt that count as one token.
 pub const TOKEN_BYTES: usize = 4;
-/// Workspaces by their share of the requests, in percent; a few are large.
-pub const WORKSPACE_SHARES: [u32; 8] = [30, 22, 16, 10, 8, 6, 5, 3];
-/// Share of the engines' request slots that the power budget covers, in percent.
-pub const POWERED_PERCENT: u32 = 90;
+/// Percentage of the requests that each workspace sends.
+pub const WORKSPACE_PERCENT: [u32; 8] = [30, 22, 16, 10, 8, 6, 5, 3];
+/// Percentage of the engines' request slots that the power budget covers.
+pub const POWERED_SLOT_PERCENT: u32 = 90;
 
 /// Name of a site.
 #[derive(Clone, Copy, Debug, Display, EnumString, Eq, PartialEq)]
@@ -19,69 +19,69 @@
     Ramsaran,
 }
 
-/// Range of a number of tokens, both ends included.
+/// Inclusive range of token counts.
 #[derive(Clone, Copy, Debug)]
 pub struct TokenRange {
-    /// Least.
-    pub least: u32,
-    /// Most.
-    pub most: u32,
+    /// Minimum.
+    pub min: u32,
+    /// Maximum.
+    pub max: u32,
 }
 
-/// Sizes and rates of a site.
+/// Sizes, rates and traffic of a site.
 #[derive(Clone, Copy, Debug)]
 pub struct Preset {
-    /// Availability zones.
+    /// Names of the availability zones.
     pub zones: &'static [&'static str],
-    /// One-way delay between two zones in microseconds.
+    /// One-way delay between two availability zones, in microseconds.
     pub zone_delay_us: u32,
-    /// Language-model servers.
+    /// Number of model engines.
     pub engines: u32,
-    /// Servers of the plain service.
+    /// Number of servers of the plain service.
     pub service_servers: u32,
-    /// Plain service.
+    /// Name of the plain service.
     pub service: &'static str,
-    /// Path of its non-idempotent calls.
+    /// Path of the service's non-idempotent calls.
     pub non_idempotent_path: &'static str,
     /// Model that the engines serve.
     pub model: &'static str,
-    /// Requests that an engine runs at once.
-    pub running_requests: u32,
-    /// Blocks of 16 tokens in an engine's cache.
+    /// Maximum requests that an engine runs at once.
+    pub max_running_requests: u32,
+    /// Capacity of an engine's cache, in blocks of 16 tokens.
     pub cache_blocks: u32,
-    /// Prompt tokens that an engine computes a second.
+    /// Prefill rate of an engine, in prompt tokens per second.
     pub prefill_tokens_per_s: u32,
-    /// Tokens that an engine generates a second for a request.
+    /// Decode rate of each request, in tokens per second.
     pub decode_tokens_per_s: u32,
-    /// Documents (manuals or customer files) of a workspace.
-    pub documents: u32,
-    /// Tokens of a workspace's preamble.
-    pub preamble: TokenRange,
-    /// Tokens of a document.
-    pub document: TokenRange,
-    /// Tokens of a question.
-    pub question: TokenRange,
-    /// Tokens generated.
-    pub completion: TokenRange,
-    /// Interactive requests in percent; a tenth of the others is batch work.
+    /// Number of documents (manuals or customer files) in each workspace.
+    pub documents_per_workspace: u32,
+    /// Length of a workspace's preamble.
+    pub preamble_tokens: TokenRange,
+    /// Length of a document.
+    pub document_tokens: TokenRange,
+    /// Length of a question.
+    pub question_tokens: TokenRange,
+    /// Number of tokens to generate.
+    pub completion_tokens: TokenRange,
+    /// Percentage of interactive requests; about a tenth of the others are batch requests.
     pub interactive_percent: u32,
-    /// Weight of the time to the first token in the routing score.
+    /// Weight of the time to first token in the routing score.
     pub first_token_weight: f64,
     /// Weight of recomputation in the routing score.
     pub recomputation_weight: f64,
-    /// Hit rate of the omniscient policy, with which the capacity is worked out.
+    /// Prefix hit rate of the omniscient policy, from 0 to 1, from which the capacity is computed.
     pub omniscient_hit_rate: f64,
 }
 
-/// Draw of an engine without work.
+/// Power draw of an engine without running requests.
 pub const IDLE_WATTS: u32 = 100;
-/// Additional draw of each running request.
+/// Additional power draw of each running request.
 pub const REQUEST_WATTS: u32 = 20;
 
 impl TokenRange {
-    /// Returns the mean.
+    /// Returns the mean token count.
     pub fn mean(self) -> f64 {
-        f64::from(self.least + self.most) / 2.0
+        f64::from(self.min + self.max) / 2.0
     }
 }
 
@@ -97,15 +97,15 @@
                 service: "field-app",
                 non_idempotent_path: "/tallies",
                 model: "survey-8b",
-                running_requests: 16,
+                max_running_requests: 16,
                 cache_blocks: 1_200,
                 prefill_tokens_per_s: 8_000,
                 decode_tokens_per_s: 40,
-                documents: 10,
-                preamble: TokenRange { least: 200, most: 400 },
-                document: TokenRange { least: 1_600, most: 3_200 },
-                question: TokenRange { least: 30, most: 90 },
-                completion: TokenRange { least: 24, most: 72 },
+                documents_per_workspace: 10,
+                preamble_tokens: TokenRange { min: 200, max: 400 },
+                document_tokens: TokenRange { min: 1_600, max: 3_200 },
+                question_tokens: TokenRange { min: 30, max: 90 },
+                completion_tokens: TokenRange { min: 24, max: 72 },
                 interactive_percent: 20,
                 first_token_weight: 1.0,
                 recomputation_weight: 1.0,
@@ -119,15 +119,15 @@
                 service: "dispatch",
                 non_idempotent_path: "/bookings",
                 model: "manifest-8b",
-                running_requests: 16,
+                max_running_requests: 16,
                 cache_blocks: 1_500,
                 prefill_tokens_per_s: 6_000,
                 decode_tokens_per_s: 40,
-                documents: 30,
-                preamble: TokenRange { least: 400, most: 600 },
-                document: TokenRange { least: 600, most: 1_400 },
-                question: TokenRange { least: 20, most: 60 },
-                completion: TokenRange { least: 16, most: 48 },
+                documents_per_workspace: 30,
+                preamble_tokens: TokenRange { min: 400, max: 600 },
+                document_tokens: TokenRange { min: 600, max: 1_400 },
+                question_tokens: TokenRange { min: 20, max: 60 },
+                completion_tokens: TokenRange { min: 16, max: 48 },
                 interactive_percent: 60,
                 first_token_weight: 1.0,
                 recomputation_weight: 0.3,
@@ -136,29 +136,30 @@
         }
     }
 
-    /// Returns the power budget: the idle draw and the draw of the slots that are powered.
+    /// Returns the power budget: the idle draw plus the draw of the powered request slots.
     pub fn budget_watts(&self) -> u32 {
-        let slots = self.engines * self.running_requests * POWERED_PERCENT / 100;
+        let slots = self.engines * self.max_running_requests * POWERED_SLOT_PERCENT / 100;
         self.engines * IDLE_WATTS + slots * REQUEST_WATTS
     }
 
-    /// Returns the requests that may run at once under the power budget.
-    pub fn powered_requests(&self) -> u32 {
+    /// Returns the maximum requests that run at once under the power budget.
+    pub fn max_powered_requests(&self) -> u32 {
         (self.budget_watts() - self.engines * IDLE_WATTS) / REQUEST_WATTS
     }
 
-    /// Returns the model requests a second that the site can carry.
+    /// Returns the capacity of the site, in model requests per second.
     ///
-    /// A request occupies a slot for its prefill at the omniscient hit rate and its decode; an
-    /// engine computes one prefill at a time. The capacity is the smaller of the powered slots over
-    /// the time in a slot, and the engines over the time of a prefill.
+    /// A request occupies a slot during prefill (at the omniscient hit rate) and decode, and an
+    /// engine runs one prefill at a time. The capacity is the lower of two limits: powered slots
+    /// divided by the time in a slot, and engines divided by the time of a prefill.
     pub fn capacity_per_s(&self) -> f64 {
-        let prompt_tokens = self.preamble.mean() + self.document.mean() + self.question.mean();
-        let missed_tokens = prompt_tokens * (1.0 - self.omniscient_hit_rate);
-        let prefill_s = missed_tokens / f64::from(self.prefill_tokens_per_s);
-        let decode_s = self.completion.mean() / f64::from(self.decode_tokens_per_s);
-        let by_slots = f64::from(self.powered_requests()) / (prefill_s + decode_s);
-        let by_prefill = f64::from(self.engines) / prefill_s;
-        by_slots.min(by_prefill)
+        let prompt_tokens =
+            self.preamble_tokens.mean() + self.document_tokens.mean() + self.question_tokens.mean();
+        let uncached_tokens = prompt_tokens * (1.0 - self.omniscient_hit_rate);
+        let prefill_s = uncached_tokens / f64::from(self.prefill_tokens_per_s);
+        let decode_s = self.completion_tokens.mean() / f64::from(self.decode_tokens_per_s);
+        let slot_limit_per_s = f64::from(self.max_powered_requests()) / (prefill_s + decode_s);
+        let prefill_limit_per_s = f64::from(self.engines) / prefill_s;
+        slot_limit_per_s.min(prefill_limit_per_s)
     }
 }
--- a/examples/local_site/report.rs
+++ b/examples/local_site/report.rs
@@ -1,109 +1,116 @@
-//! Report of a run: what callers saw beside the true figures of the stand-ins.
+//! Report of a run, from the outcomes of the callers and the counters of the stand-ins.
 
 use crate::callers::Run;
 use crate::fault_report::FaultReport;
 use crate::options::{Fault, Options, PolicyChoice};
-use crate::outcome::{CallKind, Ending, KeyedCall, Outcome};
+use crate::outcome::{CallKind, Ending, NonIdempotentCall, Outcome};
 use coriandertide_standins::ground_truth::PromptTotals;
 use serde::Serialize;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Share of the run that fills the caches and is left out of the latencies and token counts.
-pub const WARM_UP_SHARE: f64 = 0.2;
+/// Fraction of the run that warms up the caches, excluded from latencies and token counts.
+pub const WARM_UP_FRACTION: f64 = 0.2;
 
-/// Figures of one policy.
+/// Results of a run under one policy, written as JSON.
 #[derive(Clone, Debug, Serialize)]
 pub struct PolicyReport {
-    /// Policy.
+    /// Routing policy.
     pub policy: String,
-    /// Site.
+    /// Name of the site.
     pub site: String,
-    /// Share of the capacity.
+    /// Arrival rate as a fraction of the site's capacity.
     pub load: f64,
-    /// Model requests and service calls a second.
+    /// Model requests and service calls per second.
     pub rate_per_s: f64,
-    /// Arrivals.
+    /// Number of arrivals.
     pub requests: usize,
-    /// Nodes.
+    /// Number of nodes.
     pub nodes: usize,
-    /// Seed.
+    /// Seed of the traffic.
     pub seed: u64,
-    /// Faults injected.
+    /// Injected faults.
     pub faults: Vec<String>,
-    /// Share of prompt tokens that came from the engine's cache.
+    /// Fraction of prompt tokens that the engine had cached.
     pub prefix_hit_rate: f64,
-    /// Share of prompt tokens imported from the KV store.
+    /// Fraction of prompt tokens imported from the KV store.
     pub imported_share: f64,
-    /// Time to the first token: half of the requests.
+    /// Median time to first token.
     pub ttft_p50_ms: f64,
-    /// Time to the first token: 95 in 100.
+    /// 95th percentile of the time to first token.
     pub ttft_p95_ms: f64,
-    /// Time to the first token: 99 in 100.
+    /// 99th percentile of the time to first token.
     pub ttft_p99_ms: f64,
-    /// Prompt tokens computed though a live engine held them.
+    /// Prompt tokens recomputed although another running engine had them cached.
     pub wasted_prompt_tokens: u64,
-    /// Model requests refused as not run.
+    /// Model requests that ended as not run.
     pub refused: usize,
     /// Answers that were wrong or cut.
     pub answers_wrong: usize,
     /// Non-idempotent calls that ran more than once.
     pub non_idempotent_twice: usize,
-    /// Non-idempotent calls that ran though every ending said "not run".
+    /// Non-idempotent calls that ran although each attempt ended as not run.
     pub not_run_but_ran: usize,
-    /// Non-idempotent calls that were answered and never ran.
+    /// Non-idempotent calls that were answered but never ran.
     pub answered_but_never_ran: usize,
-    /// Calls of every kind whose last ending was "not run".
+    /// Calls of any kind whose last attempt ended as not run.
     pub not_run: usize,
-    /// Calls of every kind whose last ending was "outcome unknown".
+    /// Calls of any kind whose last attempt ended with an unknown outcome.
     pub outcome_unknown: usize,
-    /// Calls whose connection to the node broke at the last attempt.
+    /// Calls whose last attempt lost its connection to the node.
     pub connection_lost: usize,
-    /// Calls that had not ended when the run was over.
+    /// Calls without an outcome at the end of the run.
     pub unfinished: usize,
-    /// Calls that their callers sent more than once.
+    /// Calls with more than one attempt.
     pub resent: usize,
-    /// Endings by code of the error.
+    /// Number of calls by error code.
     pub error_codes: BTreeMap<String, usize>,
-    /// Crashes of engines.
+    /// Number of engine crashes.
     pub engine_crashes: u64,
-    /// Highest draw.
+    /// Highest power draw of the engines.
     pub peak_watts: u64,
-    /// Power budget.
+    /// Power budget of the site.
     pub budget_watts: u64,
-    /// Bytes that a node sends and receives over partner links a second, if its metrics say so.
+    /// Mean bytes per second that a node sends and receives on partner links, if measured.
     pub link_bytes_per_s: Option<f64>,
-    /// Appends to the log a second.
+    /// Appends to the log per second.
     pub log_appends_per_s: f64,
-    /// What the faults did.
+    /// Effects of the faults, if any were injected.
     pub fault: Option<FaultReport>,
 }
 
-/// What a run has measured beside the outcomes.
-pub struct Measured {
-    /// Prompt tokens at the end of the warm-up.
-    pub warm_up: PromptTotals,
-    /// Sum of the link bytes of all nodes.
+/// Measurements of a run in addition to its outcomes.
+pub struct Measurements {
+    /// Prompt token totals at the end of the warm-up.
+    pub warm_up_totals: PromptTotals,
+    /// Bytes on the partner links of all nodes.
     pub link_bytes: Option<f64>,
-    /// Figures of the faults.
+    /// Effects of the faults.
     pub fault: Option<FaultReport>,
 }
 
 impl PolicyReport {
-    /// Returns the report of a run that has ended.
-    pub fn new(run: &Run, policy: PolicyChoice, options: &Options, measured: Measured) -> Self {
-        let outcomes = run.outcomes.sorted();
-        let keyed = run.outcomes.keyed();
+    /// Returns the report of a completed run.
+    pub fn new(
+        run: &Run,
+        policy: PolicyChoice,
+        options: &Options,
+        measurements: Measurements,
+    ) -> Self {
+        let outcomes = run.outcomes.sorted_by_arrival();
+        let non_idempotent_calls = run.outcomes.non_idempotent_calls();
         let runs = run.site.ground_truth.runs();
-        let end = run.workload.end();
-        let end_s = end.as_secs_f64().max(0.001);
-        let first_tokens = first_tokens(&outcomes, end.mul_f64(WARM_UP_SHARE)..end * 2);
+        let duration = run.workload.duration();
+        let duration_s = duration.as_secs_f64().max(0.001);
+        let first_token_times =
+            times_to_first_token(&outcomes, duration.mul_f64(WARM_UP_FRACTION)..duration * 2);
         let totals = run.site.ground_truth.prompt_totals();
-        let prompt_tokens = (totals.prompt_tokens - measured.warm_up.prompt_tokens).max(1);
-        let cached_tokens = totals.cached_tokens - measured.warm_up.cached_tokens;
-        let imported_tokens = totals.imported_tokens - measured.warm_up.imported_tokens;
+        let prompt_tokens =
+            (totals.prompt_tokens - measurements.warm_up_totals.prompt_tokens).max(1);
+        let cached_tokens = totals.cached_tokens - measurements.warm_up_totals.cached_tokens;
+        let imported_tokens = totals.imported_tokens - measurements.warm_up_totals.imported_tokens;
         let count = |ending| outcomes.iter().filter(|outcome| outcome.ending == ending).count();
-        let runs_of = |call: &KeyedCall| runs.get(&call.key).copied().unwrap_or(0);
+        let runs_of = |call: &NonIdempotentCall| runs.get(&call.key).copied().unwrap_or(0);
         let refused = |outcome: &&Outcome| {
             outcome.kind == CallKind::Model && outcome.ending == Ending::NotRun
         };
@@ -111,26 +118,29 @@
             policy: policy.to_string(),
             site: options.site.to_string(),
             load: options.load,
-            rate_per_s: outcomes.len() as f64 / end_s,
+            rate_per_s: outcomes.len() as f64 / duration_s,
             requests: run.workload.arrivals.len(),
             nodes: options.nodes,
             seed: options.seed,
             faults: options.fault.iter().map(Fault::to_string).collect(),
             prefix_hit_rate: cached_tokens as f64 / prompt_tokens as f64,
             imported_share: imported_tokens as f64 / prompt_tokens as f64,
-            ttft_p50_ms: percentile_ms(&first_tokens, 0.50),
-            ttft_p95_ms: percentile_ms(&first_tokens, 0.95),
-            ttft_p99_ms: percentile_ms(&first_tokens, 0.99),
-            wasted_prompt_tokens: totals.wasted_tokens - measured.warm_up.wasted_tokens,
+            ttft_p50_ms: percentile_ms(&first_token_times, 0.50),
+            ttft_p95_ms: percentile_ms(&first_token_times, 0.95),
+            ttft_p99_ms: percentile_ms(&first_token_times, 0.99),
+            wasted_prompt_tokens: totals.wasted_tokens - measurements.warm_up_totals.wasted_tokens,
             refused: outcomes.iter().filter(refused).count(),
             answers_wrong: count(Ending::Wrong) + count(Ending::Cut),
-            non_idempotent_twice: keyed.iter().filter(|call| runs_of(call) > 1).count(),
-            not_run_but_ran: keyed
+            non_idempotent_twice: non_idempotent_calls
+                .iter()
+                .filter(|call| runs_of(call) > 1)
+                .count(),
+            not_run_but_ran: non_idempotent_calls
                 .iter()
                 .filter(|call| call.endings.iter().all(|ending| *ending == Ending::NotRun))
                 .filter(|call| runs_of(call) > 0)
                 .count(),
-            answered_but_never_ran: keyed
+            answered_but_never_ran: non_idempotent_calls
                 .iter()
                 .filter(|call| call.endings.contains(&Ending::Answered) && runs_of(call) == 0)
                 .count(),
@@ -143,13 +153,15 @@
             engine_crashes: run.site.ground_truth.engine_crashes(),
             peak_watts: run.site.ground_truth.peak_watts(),
             budget_watts: u64::from(run.site.preset.budget_watts()),
-            link_bytes_per_s: measured.link_bytes.map(|bytes| bytes / end_s / options.nodes as f64),
-            log_appends_per_s: run.site.log.appends() as f64 / end_s,
-            fault: measured.fault,
+            link_bytes_per_s: measurements
+                .link_bytes
+                .map(|bytes| bytes / duration_s / options.nodes as f64),
+            log_appends_per_s: run.site.log.appends() as f64 / duration_s,
+            fault: measurements.fault,
         }
     }
 
-    /// Returns what must never happen and did.
+    /// Returns a description of each violated invariant.
     pub fn violations(&self, faults: &[Fault]) -> Vec<String> {
         let mut violations = Vec::new();
         let mut require_none = |count: usize, what: &str| {
@@ -162,7 +174,7 @@
         require_none(self.not_run_but_ran, "calls refused as not run did run");
         require_none(self.answered_but_never_ran, "calls answered without a run");
         require_none(self.unfinished, "calls without an ending");
-        if !faults.iter().any(|fault| fault.cuts_callers()) {
+        if !faults.iter().any(|fault| fault.breaks_caller_connections()) {
             require_none(self.connection_lost, "connections lost");
         }
         if self.peak_watts > self.budget_watts {
@@ -176,22 +188,27 @@
     }
 }
 
-/// Returns the times to the first token of answered model requests that arrived in `range`, sorted.
-pub fn first_tokens(outcomes: &[Outcome], range: std::ops::Range<Duration>) -> Vec<Duration> {
+/// Returns the sorted times to first token of answered model requests that arrived in `arrivals`.
+pub fn times_to_first_token(
+    outcomes: &[Outcome],
+    arrivals: std::ops::Range<Duration>,
+) -> Vec<Duration> {
     let mut times: Vec<Duration> = outcomes
         .iter()
-        .filter(|outcome| outcome.kind == CallKind::Model && range.contains(&outcome.at))
+        .filter(|outcome| {
+            outcome.kind == CallKind::Model && arrivals.contains(&outcome.arrival_offset)
+        })
         .filter(|outcome| outcome.ending == Ending::Answered)
-        .filter_map(|outcome| outcome.first_token)
+        .filter_map(|outcome| outcome.time_to_first_token)
         .collect();
     times.sort();
     times
 }
 
-/// Returns a percentile of sorted times in milliseconds, 0 without any.
-pub fn percentile_ms(sorted: &[Duration], share: f64) -> f64 {
-    let index = (sorted.len() as f64 * share).ceil() as usize;
-    let time = sorted.get(index.saturating_sub(1));
+/// Returns the quantile `fraction` of sorted times, in milliseconds; 0 if there are none.
+pub fn percentile_ms(sorted_times: &[Duration], fraction: f64) -> f64 {
+    let index = (sorted_times.len() as f64 * fraction).ceil() as usize;
+    let time = sorted_times.get(index.saturating_sub(1));
     time.map_or(0.0, |time| (time.as_secs_f64() * 10_000.0).round() / 10.0)
 }
 
--- a/examples/local_site/run.rs
+++ b/examples/local_site/run.rs
@@ -1,15 +1,15 @@
-//! One run: a site, its callers and its faults under one policy.
+//! Runs a site with its callers and faults under one policy.
 
 use crate::callers::Run;
 use crate::fault_report::{FaultReadings, FaultReport, SETTLE_TIME};
 use crate::faults;
-use crate::omniscient::Omniscient;
+use crate::omniscient::OmniscientRouter;
 use crate::options::{Fault, Options, PolicyChoice};
 use crate::outcome::{Ending, Outcomes};
 use crate::preset::Preset;
-use crate::report::{Measured, PolicyReport, WARM_UP_SHARE};
+use crate::report::{Measurements, PolicyReport, WARM_UP_FRACTION};
 use crate::site::Site;
-use crate::workload::{MODEL_SHARE, Workload};
+use crate::workload::{MODEL_FRACTION, Workload};
 use anyhow::ensure;
 use bytes::Bytes;
 use coriandertide::adapters::http_client;
@@ -26,30 +26,30 @@
 
 /// Threads that run the callers.
 const CALLER_THREADS: usize = 2;
-/// Length of a run that names no number of requests.
+/// Seconds of traffic in a run without a given number of requests.
 const DEFAULT_RUN_S: f64 = 20.0;
-/// Time for the nodes to become ready.
+/// Maximum time until all nodes are ready.
 const READY_TIMEOUT: Duration = Duration::from_secs(10);
-/// Time for the last calls to end.
+/// Maximum time after the last arrival until all calls have ended.
 const END_TIMEOUT: Duration = Duration::from_secs(25);
-/// Period of progress lines.
+/// Period of the progress lines.
 const PROGRESS_PERIOD: Duration = Duration::from_secs(1);
-/// Most bytes of a page of metrics.
-const METRICS_LIMIT_BYTES: usize = 4 << 20;
+/// Maximum size of a metrics page.
+const MAX_METRICS_BYTES: usize = 4 << 20;
 
 static EXECUTOR: Executor<'static> = Executor::new();
 static START: Once = Once::new();
 
-/// Runs the site under `policy` and returns its figures.
+/// Runs the site under `policy` and returns its report.
 pub fn run_policy(policy: PolicyChoice, options: &Options) -> anyhow::Result<PolicyReport> {
     START.call_once(start_threads);
     let preset = Preset::of(options.site);
-    let rate_per_s = preset.capacity_per_s() * options.load / MODEL_SHARE;
+    let rate_per_s = preset.capacity_per_s() * options.load / MODEL_FRACTION;
     let requests = options.requests.unwrap_or((rate_per_s * DEFAULT_RUN_S) as usize);
     let site = Site::start(preset, policy, options)?;
-    let probe = EXECUTOR.spawn(site.balancer.clone().probe());
+    let probe_task = EXECUTOR.spawn(site.balancer.clone().run_probes());
     let omniscient = match policy {
-        PolicyChoice::Omniscient => Some(Omniscient::new(&preset)),
+        PolicyChoice::Omniscient => Some(OmniscientRouter::new(&preset)),
         _ => None,
     };
     if omniscient.is_none() {
@@ -60,24 +60,25 @@
         workload: Workload::new(&preset, options.seed, requests, rate_per_s, &options.fault),
         omniscient,
         outcomes: Outcomes::default(),
-        sent: AtomicUsize::new(0),
+        sent_calls: AtomicUsize::new(0),
         started_at: Instant::now(),
     });
-    let sending = EXECUTOR.spawn(send_arrivals(Arc::clone(&run)));
-    let warm_up = spawn_warm_up(&run);
-    let faulting = start_faults(&run, options);
-    watch(&run, policy);
-    let readings = faulting.join().map_err(|_| anyhow::anyhow!("the fault thread panicked"))??;
-    drop(sending);
-    let warm_up = smol::block_on(warm_up);
-    let measured = Measured {
-        warm_up,
-        link_bytes: smol::block_on(link_bytes(&run.site.node_addresses())),
+    let sender_task = EXECUTOR.spawn(send_arrivals(Arc::clone(&run)));
+    let warm_up_task = spawn_warm_up_reading(&run);
+    let fault_thread = spawn_fault_thread(&run, options);
+    wait_until_ended(&run, policy);
+    let readings =
+        fault_thread.join().map_err(|_| anyhow::anyhow!("the fault thread panicked"))??;
+    drop(sender_task);
+    let warm_up_totals = smol::block_on(warm_up_task);
+    let measurements = Measurements {
+        warm_up_totals,
+        link_bytes: smol::block_on(total_link_bytes(&run.site.node_addresses())),
         fault: FaultReport::new(&run, &options.fault, readings),
     };
-    let report = PolicyReport::new(&run, policy, options, measured);
-    drop(probe);
-    for node in run.site.take_nodes() {
+    let report = PolicyReport::new(&run, policy, options, measurements);
+    drop(probe_task);
+    for node in run.site.remove_all_nodes() {
         node.kill();
     }
     Ok(report)
@@ -88,7 +89,7 @@
         thread::Builder::new()
             .name(format!("caller-{index}"))
             .spawn(|| smol::block_on(EXECUTOR.run(pending::<()>())))
-            .expect("a thread can be started");
+            .expect("spawning a caller thread succeeds");
     }
 }
 
@@ -104,26 +105,29 @@
 
 async fn send_arrivals(run: Arc<Run>) {
     for arrival in run.workload.arrivals.clone() {
-        // Services are reached through nodes, which the omniscient policy does without.
+        // Services are reached only through nodes, which the omniscient policy does not start.
         if run.omniscient.is_some() && !matches!(arrival.call, crate::workload::Call::Model(_)) {
-            run.skip(&arrival);
+            run.record_skipped(&arrival);
             continue;
         }
-        Timer::at(run.started_at + arrival.at).await;
+        Timer::at(run.started_at + arrival.offset).await;
         EXECUTOR.spawn(Arc::clone(&run).call(arrival)).detach();
     }
 }
 
-fn spawn_warm_up(run: &Arc<Run>) -> smol::Task<coriandertide_standins::ground_truth::PromptTotals> {
+/// Starts a task that returns the prompt totals at the end of the warm-up.
+fn spawn_warm_up_reading(
+    run: &Arc<Run>,
+) -> smol::Task<coriandertide_standins::ground_truth::PromptTotals> {
     let run = Arc::clone(run);
     EXECUTOR.spawn(async move {
-        Timer::at(run.started_at + run.workload.end().mul_f64(WARM_UP_SHARE)).await;
+        Timer::at(run.started_at + run.workload.duration().mul_f64(WARM_UP_FRACTION)).await;
         run.site.ground_truth.prompt_totals()
     })
 }
 
-/// Starts the thread that injects the faults at their time.
-fn start_faults(
+/// Starts a thread that injects the faults and takes the readings after the settle time.
+fn spawn_fault_thread(
     run: &Arc<Run>,
     options: &Options,
 ) -> thread::JoinHandle<anyhow::Result<FaultReadings>> {
@@ -135,7 +139,7 @@
         if injected.is_empty() {
             return Ok(readings);
         }
-        let fault_at = run.started_at + run.workload.fault_at();
+        let fault_at = run.started_at + run.workload.fault_offset();
         thread::sleep(fault_at.saturating_duration_since(Instant::now()));
         for fault in &injected {
             faults::inject(&run.site, *fault, nodes)?;
@@ -153,28 +157,28 @@
     })
 }
 
-/// Prints progress until all calls have ended or the time for them is over.
-fn watch(run: &Run, policy: PolicyChoice) {
+/// Prints progress until all calls have ended or their time is over.
+fn wait_until_ended(run: &Run, policy: PolicyChoice) {
     let total = run.workload.arrivals.len();
-    let deadline = run.started_at + run.workload.end() + END_TIMEOUT;
+    let deadline = run.started_at + run.workload.duration() + END_TIMEOUT;
     let mut next_line = Instant::now() + PROGRESS_PERIOD;
     loop {
-        let endings = run.outcomes.endings();
-        let ended: usize = endings.values().sum();
+        let ending_counts = run.outcomes.ending_counts();
+        let ended: usize = ending_counts.values().sum();
         if ended >= total || Instant::now() > deadline {
             return;
         }
         if Instant::now() >= next_line {
             next_line += PROGRESS_PERIOD;
-            let of = |ending| endings.get(&ending).copied().unwrap_or(0);
+            let count = |ending| ending_counts.get(&ending).copied().unwrap_or(0);
             println!(
                 "{policy}: {:.0} s, sent {}/{total}, answered {}, not run {}, unknown {}, wrong {}, {} W",
                 run.started_at.elapsed().as_secs_f64(),
-                run.sent.load(Ordering::Relaxed),
-                of(Ending::Answered),
-                of(Ending::NotRun),
-                of(Ending::OutcomeUnknown),
-                of(Ending::Wrong) + of(Ending::Cut),
+                run.sent_calls.load(Ordering::Relaxed),
+                count(Ending::Answered),
+                count(Ending::NotRun),
+                count(Ending::OutcomeUnknown),
+                count(Ending::Wrong) + count(Ending::Cut),
                 run.site.ground_truth.drawn_watts(),
             );
         }
@@ -182,15 +186,15 @@
     }
 }
 
-/// Returns the bytes on the partner links of all nodes, or none if a node does not say.
-async fn link_bytes(nodes: &[SocketAddr]) -> Option<f64> {
+/// Returns the bytes on the partner links of all nodes, or `None` if a node's metrics lack them.
+async fn total_link_bytes(nodes: &[SocketAddr]) -> Option<f64> {
     let mut sum = 0.0;
     for address in nodes {
         let request = Request::get("/metrics").header("host", "site");
         let request = request.body(Full::<Bytes>::default()).ok()?;
         let deadline = Instant::now() + Duration::from_secs(2);
         let mut exchange = http_client::send(*address, request, deadline).await.ok()?;
-        let text = exchange.read_all(METRICS_LIMIT_BYTES, deadline).await.ok()?;
+        let text = exchange.read_all(MAX_METRICS_BYTES, deadline).await.ok()?;
         let text = String::from_utf8(text.to_vec()).ok()?;
         sum += metric(&text, "coriandertide_link_sent_bytes_total")?;
         sum += metric(&text, "coriandertide_link_received_bytes_total")?;
--- a/examples/local_site/site.rs
+++ b/examples/local_site/site.rs
@@ -1,4 +1,4 @@
-//! Stand-ins and nodes of a site.
+//! Running site: its stand-ins and nodes.
 
 use crate::balancer::Balancer;
 use crate::document;
@@ -22,18 +22,18 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::Duration;
 
-/// Stream of the log that holds the document.
+/// Log stream of the configuration document.
 pub const CONFIGURATION_STREAM: &str = "configuration";
-/// Address that takes a free port.
+/// Loopback address with port 0, which binds a free port.
 const FREE_PORT: SmolStr = SmolStr::new_static("127.0.0.1:0");
 
-/// Running site.
+/// Stand-ins and nodes of a running site.
 pub struct Site {
-    /// Sizes and rates.
+    /// Sizes, rates and traffic.
     pub preset: Preset,
-    /// True figures.
+    /// Counters of what really happened.
     pub ground_truth: Arc<GroundTruth>,
-    /// Delays between the zones.
+    /// Simulated network between availability zones.
     pub zone_delays: ZoneDelays,
     /// Log service.
     pub log: LogServiceStandIn,
@@ -43,10 +43,10 @@
     pub engines: Vec<EngineStandIn>,
     /// Servers of the plain service.
     pub services: Vec<PlainServiceStandIn>,
-    /// Balancer before the nodes.
+    /// Load balancer in front of the nodes.
     pub balancer: Balancer,
     nodes: Mutex<Vec<Node>>,
-    started_nodes: AtomicU32,
+    started_node_count: AtomicU32,
     policy: PolicyChoice,
     control: ControlSettings,
     kv_store: Option<KvStoreStandIn>,
@@ -54,7 +54,7 @@
 }
 
 impl Site {
-    /// Starts the stand-ins, publishes the document and starts the nodes.
+    /// Starts the stand-ins, publishes the initial document and starts the nodes.
     pub fn start(preset: Preset, policy: PolicyChoice, options: &Options) -> anyhow::Result<Self> {
         let ground_truth = GroundTruth::new();
         let delay = Duration::from_micros(u64::from(preset.zone_delay_us));
@@ -65,9 +65,9 @@
         } else {
             None
         };
-        let engine = EngineConfig {
+        let engine_config = EngineConfig {
             models: vec![ServedModel { model: preset.model.into(), weights_version: "1".into() }],
-            max_running_requests: preset.running_requests as usize,
+            max_running_requests: preset.max_running_requests as usize,
             cache_blocks: preset.cache_blocks as usize,
             prefill_tokens_per_s: preset.prefill_tokens_per_s,
             decode_tokens_per_s: preset.decode_tokens_per_s,
@@ -82,13 +82,13 @@
             ..EngineConfig::default()
         };
         let site = Self {
-            engines: start_engines(&preset, &engine)?,
+            engines: start_engines(&preset, &engine_config)?,
             services: start_services(&preset, &ground_truth)?,
             log: LogServiceStandIn::start(LogServiceConfig::default())?,
             instance_list: InstanceListStandIn::start(InstanceListConfig::default())?,
             balancer: Balancer::default(),
             nodes: Mutex::default(),
-            started_nodes: AtomicU32::new(0),
+            started_node_count: AtomicU32::new(0),
             policy,
             control: control_settings(options),
             kv_store,
@@ -98,7 +98,7 @@
             zone_delays,
         };
         site.register_servers();
-        let document = document::first(&site, options.nodes)?;
+        let document = document::initial_document(&site, options.nodes)?;
         site.log.append(CONFIGURATION_STREAM, ConfigurationRecord::initial(document).encode());
         if policy != PolicyChoice::Omniscient {
             for _ in 0..options.nodes {
@@ -108,9 +108,9 @@
         Ok(site)
     }
 
-    /// Starts a node and registers it.
+    /// Starts a node and adds it to the instance list and the load balancer.
     pub fn start_node(&self) -> anyhow::Result<()> {
-        let number = self.started_nodes.fetch_add(1, Ordering::Relaxed);
+        let number = self.started_node_count.fetch_add(1, Ordering::Relaxed);
         let zone = self.preset.zones[number as usize % self.preset.zones.len()];
         let name = format_smolstr!("entry-{number}");
         let settings = RawSettings {
@@ -127,7 +127,7 @@
             control: self.control,
             ..RawSettings::default()
         };
-        let settings = Settings::try_from(settings).context("settings of a node")?;
+        let settings = Settings::try_from(settings).context("invalid settings of a node")?;
         let node = Node::start(settings)?;
         self.instance_list.put_immediately(Instance {
             name: name.to_string(),
@@ -141,31 +141,31 @@
         Ok(())
     }
 
-    /// Takes the node that runs longest out of the site; the caller drains or kills it.
-    pub fn take_node(&self) -> Option<Node> {
+    /// Removes and returns the node started first; the caller drains or kills it.
+    pub fn remove_oldest_node(&self) -> Option<Node> {
         let mut nodes = lock(&self.nodes);
         if nodes.is_empty() { None } else { Some(nodes.remove(0)) }
     }
 
-    /// Takes all nodes out of the site.
-    pub fn take_nodes(&self) -> Vec<Node> {
+    /// Removes and returns all nodes.
+    pub fn remove_all_nodes(&self) -> Vec<Node> {
         std::mem::take(&mut *lock(&self.nodes))
     }
 
-    /// Holds up all threads of one node.
+    /// Pauses all threads of one node for `period`.
     pub fn freeze_node(&self, period: Duration) {
         if let Some(node) = lock(&self.nodes).first() {
             node.freeze(period);
         }
     }
 
-    /// Returns the callers' addresses of all nodes.
+    /// Returns the addresses for callers of all nodes.
     pub fn node_addresses(&self) -> Vec<SocketAddr> {
         lock(&self.nodes).iter().map(Node::caller_address).collect()
     }
 
-    /// Returns the list's record of a backend server.
-    pub fn server_record(&self, engine: &EngineStandIn, state: &str) -> Instance {
+    /// Returns the instance list's entry of an engine in `state`.
+    pub fn server_instance(&self, engine: &EngineStandIn, state: &str) -> Instance {
         Instance {
             name: engine.config().name.clone(),
             kind: "backend_server".to_owned(),
@@ -177,7 +177,7 @@
 
     fn register_servers(&self) {
         for engine in &self.engines {
-            self.instance_list.put_immediately(self.server_record(engine, "live"));
+            self.instance_list.put_immediately(self.server_instance(engine, "live"));
         }
     }
 }
@@ -188,15 +188,15 @@
     ControlSettings { poll_bytes_per_s, ..defaults }
 }
 
-fn start_engines(preset: &Preset, engine: &EngineConfig) -> anyhow::Result<Vec<EngineStandIn>> {
+fn start_engines(preset: &Preset, base: &EngineConfig) -> anyhow::Result<Vec<EngineStandIn>> {
     (0..preset.engines)
         .map(|number| {
             EngineStandIn::start(EngineConfig {
                 name: format!("engine-{number:02}"),
                 availability_zone: preset.zones[number as usize % preset.zones.len()].to_owned(),
-                // Both kinds of engine are met: those that check fencing numbers and those that do not.
+                // Covers engines that check fencing numbers as well as those that do not.
                 checks_fencing: number % 2 == 0,
-                ..engine.clone()
+                ..base.clone()
             })
         })
         .collect()
--- a/examples/local_site/workload.rs
+++ b/examples/local_site/workload.rs
@@ -1,76 +1,76 @@
-//! Traffic of the two companies' kind: nested prompts with popular documents, and service calls.
+//! Generated traffic: nested prompts about documents of uneven popularity, and service calls.
 
 use crate::options::Fault;
-use crate::preset::{Preset, TOKEN_BYTES, TokenRange, WORKSPACE_SHARES};
+use crate::preset::{Preset, TOKEN_BYTES, TokenRange, WORKSPACE_PERCENT};
 use fastrand::Rng;
 use serde_json::{Value, json};
 use std::time::Duration;
 
-/// Exponent of the popularity of documents by rank.
-const POPULARITY_EXPONENT: f64 = 1.1;
-/// Service calls in percent of all arrivals.
+/// Exponent of the Zipf distribution of document popularity.
+const ZIPF_EXPONENT: f64 = 1.1;
+/// Percentage of service calls among all arrivals.
 const SERVICE_PERCENT: u32 = 8;
-/// Model requests as a share of all arrivals; the capacity is worked out for these.
-pub const MODEL_SHARE: f64 = 1.0 - SERVICE_PERCENT as f64 / 100.0;
-/// Non-idempotent calls in percent of the service calls.
+/// Fraction of model requests among all arrivals; the capacity of a site counts only these.
+pub const MODEL_FRACTION: f64 = 1.0 - SERVICE_PERCENT as f64 / 100.0;
+/// Percentage of non-idempotent calls among the service calls.
 const NON_IDEMPOTENT_PERCENT: u32 = 50;
-/// Distinct poison requests under the fault.
+/// Number of poison requests under [`Fault::Poison`].
 const POISON_REQUESTS: usize = 3;
-/// Share of the run after which faults start.
-pub const FAULT_START_SHARE: f64 = 0.4;
-/// Text in a prompt that crashes an engine.
+/// Fraction of the run after which faults start.
+pub const FAULT_START_FRACTION: f64 = 0.4;
+/// Text that crashes an engine when a prompt contains it.
 pub const POISON_MARKER: &str = "<<poison>>";
 
-/// Arrival of a call at the site.
+/// Call with the time at which it is sent.
 #[derive(Clone, Debug)]
 pub struct Arrival {
-    /// Time from the start of the run.
-    pub at: Duration,
-    /// Number of the call.
+    /// Time since the start of the run.
+    pub offset: Duration,
+    /// Sequence number of the arrival.
     pub number: usize,
-    /// Workspace of the caller.
+    /// Index of the caller's workspace.
     pub workspace: usize,
-    /// Call.
+    /// Call to send.
     pub call: Call,
 }
 
-/// Call of an arrival.
+/// Kind and content of a call.
 #[derive(Clone, Debug)]
 pub enum Call {
     /// Model request.
     Model(ModelCall),
-    /// Call to the plain service, which may be repeated.
+    /// Idempotent call to the plain service.
     IdempotentService,
-    /// Call to the plain service that may run once only.
+    /// Call to the plain service that must run at most once.
     NonIdempotentService,
 }
 
 /// Model request.
 #[derive(Clone, Debug)]
 pub struct ModelCall {
-    /// Document that the question is about.
+    /// Index of the document that the question is about.
     pub document: usize,
-    /// Question.
+    /// Text of the question.
     pub question: String,
-    /// Tokens wanted.
+    /// Number of tokens to generate.
     pub max_tokens: u32,
-    /// Priority.
+    /// Value of the header `x-priority`.
     pub priority: &'static str,
-    /// Whether the prompt crashes engines.
+    /// Whether the prompt crashes the engine.
     pub is_poison: bool,
 }
 
-/// Texts and arrivals of a run.
+/// Prompt texts and arrivals of a run.
 pub struct Workload {
     preambles: Vec<String>,
     documents: Vec<Vec<String>>,
     model: &'static str,
-    /// Arrivals in order of time.
+    /// Arrivals, sorted by time.
     pub arrivals: Vec<Arrival>,
 }
 
 impl Workload {
-    /// Returns the workload of `seed` with `requests` arrivals at `rate_per_s` on average.
+    /// Generates `requests` Poisson arrivals at a mean rate of `rate_per_s` from `seed`.
     pub fn new(
         preset: &Preset,
         seed: u64,
@@ -79,37 +79,41 @@
         faults: &[Fault],
     ) -> Self {
         let mut rng = Rng::with_seed(seed);
-        let workspaces = 0..WORKSPACE_SHARES.len();
+        let workspaces = 0..WORKSPACE_PERCENT.len();
         let preambles = workspaces
             .clone()
             .map(|workspace| {
-                text(&mut rng, &format!("Rules of team {workspace}."), preset.preamble)
+                random_text(
+                    &mut rng,
+                    &format!("Rules of team {workspace}."),
+                    preset.preamble_tokens,
+                )
             })
             .collect();
         let documents = workspaces
             .map(|workspace| {
                 let title = |document| format!("Document {document} of team {workspace}.");
-                (0..preset.documents)
-                    .map(|document| text(&mut rng, &title(document), preset.document))
+                (0..preset.documents_per_workspace)
+                    .map(|document| random_text(&mut rng, &title(document), preset.document_tokens))
                     .collect()
             })
             .collect();
-        let arrivals = arrivals(&mut rng, preset, requests, rate_per_s, faults);
+        let arrivals = generate_arrivals(&mut rng, preset, requests, rate_per_s, faults);
         Self { preambles, documents, model: preset.model, arrivals }
     }
 
-    /// Returns the time from the start at which faults begin.
-    pub fn fault_at(&self) -> Duration {
-        self.end().mul_f64(FAULT_START_SHARE)
+    /// Returns the time of the fault since the start of the run.
+    pub fn fault_offset(&self) -> Duration {
+        self.duration().mul_f64(FAULT_START_FRACTION)
     }
 
-    /// Returns the time from the start to the last arrival.
-    pub fn end(&self) -> Duration {
-        self.arrivals.last().map_or(Duration::ZERO, |arrival| arrival.at)
+    /// Returns the time of the last arrival since the start of the run.
+    pub fn duration(&self) -> Duration {
+        self.arrivals.last().map_or(Duration::ZERO, |arrival| arrival.offset)
     }
 
-    /// Returns the body of a model request.
-    pub fn body(&self, workspace: usize, call: &ModelCall) -> Value {
+    /// Returns the JSON body of a model request.
+    pub fn request_body(&self, workspace: usize, call: &ModelCall) -> Value {
         json!({
             "model": self.model,
             "messages": [
@@ -123,51 +127,57 @@
         })
     }
 
-    /// Returns the prompt as an engine sees it.
+    /// Returns the prompt as an engine derives it from the body.
     pub fn prompt(&self, workspace: usize, call: &ModelCall) -> String {
         let preamble = &self.preambles[workspace];
         let document = &self.documents[workspace][call.document];
         format!("system\n{preamble}user\n{document}user\n{}", call.question)
     }
 
-    /// Returns the model of all requests.
+    /// Returns the model that all requests name.
     pub fn model(&self) -> &'static str {
         self.model
     }
 }
 
-fn arrivals(
+fn generate_arrivals(
     rng: &mut Rng,
     preset: &Preset,
     requests: usize,
     rate_per_s: f64,
     faults: &[Fault],
 ) -> Vec<Arrival> {
-    let popularity = popularity(preset.documents);
-    let fault_number = (requests as f64 * FAULT_START_SHARE) as usize;
-    let shifts = faults.contains(&Fault::HotShift);
-    let poisons = faults.contains(&Fault::Poison);
-    let mut at_s = 0.0;
+    let popularity = popularity_weights(preset.documents_per_workspace);
+    let fault_start_number = (requests as f64 * FAULT_START_FRACTION) as usize;
+    let has_hot_shift = faults.contains(&Fault::HotShift);
+    let has_poison = faults.contains(&Fault::Poison);
+    let mut offset_s = 0.0;
     let mut arrivals = Vec::with_capacity(requests);
     for number in 0..requests {
-        at_s += -(1.0 - rng.f64()).ln() / rate_per_s;
-        let workspace = pick(rng, &WORKSPACE_SHARES.map(f64::from));
-        let is_poison = poisons && (fault_number..fault_number + POISON_REQUESTS).contains(&number);
+        offset_s += -(1.0 - rng.f64()).ln() / rate_per_s;
+        let workspace = weighted_index(rng, &WORKSPACE_PERCENT.map(f64::from));
+        let is_poison = has_poison
+            && (fault_start_number..fault_start_number + POISON_REQUESTS).contains(&number);
         let call = if !is_poison && rng.u32(0..100) < SERVICE_PERCENT {
-            service_call(rng)
+            random_service_call(rng)
         } else {
-            let rank = pick(rng, &popularity);
-            // After the shift the least popular documents are the most popular ones.
-            let is_shifted = shifts && number >= fault_number;
+            let rank = weighted_index(rng, &popularity);
+            // The shift reverses the popularity ranks.
+            let is_shifted = has_hot_shift && number >= fault_start_number;
             let document = if is_shifted { popularity.len() - 1 - rank } else { rank };
-            Call::Model(model_call(rng, preset, number, document, is_poison))
+            Call::Model(random_model_call(rng, preset, number, document, is_poison))
         };
-        arrivals.push(Arrival { at: Duration::from_secs_f64(at_s), number, workspace, call });
+        arrivals.push(Arrival {
+            offset: Duration::from_secs_f64(offset_s),
+            number,
+            workspace,
+            call,
+        });
     }
     arrivals
 }
 
-fn service_call(rng: &mut Rng) -> Call {
+fn random_service_call(rng: &mut Rng) -> Call {
     if rng.u32(0..100) < NON_IDEMPOTENT_PERCENT {
         Call::NonIdempotentService
     } else {
@@ -175,7 +185,7 @@
     }
 }
 
-fn model_call(
+fn random_model_call(
     rng: &mut Rng,
     preset: &Preset,
     number: usize,
@@ -183,36 +193,36 @@
     is_poison: bool,
 ) -> ModelCall {
     let marker = if is_poison { POISON_MARKER } else { "" };
-    let question = text(rng, &format!("Question {number}{marker}:"), preset.question);
+    let question = random_text(rng, &format!("Question {number}{marker}:"), preset.question_tokens);
     let priority = match rng.u32(0..100) {
         draw if draw < preset.interactive_percent => "interactive",
         draw if draw % 10 == 0 => "batch",
         _ => "normal",
     };
-    let max_tokens = rng.u32(preset.completion.least..=preset.completion.most);
+    let max_tokens = rng.u32(preset.completion_tokens.min..=preset.completion_tokens.max);
     ModelCall { document, question, max_tokens, priority, is_poison }
 }
 
-/// Returns the weight of each document by rank.
-fn popularity(documents: u32) -> Vec<f64> {
-    (1..=documents).map(|rank| f64::from(rank).powf(-POPULARITY_EXPONENT)).collect()
+/// Returns the popularity weight of each document, by rank.
+fn popularity_weights(documents: u32) -> Vec<f64> {
+    (1..=documents).map(|rank| f64::from(rank).powf(-ZIPF_EXPONENT)).collect()
 }
 
-/// Returns an index drawn by weight.
-fn pick(rng: &mut Rng, weights: &[f64]) -> usize {
-    let mut left = rng.f64() * weights.iter().sum::<f64>();
+/// Returns a random index, drawn in proportion to `weights`.
+fn weighted_index(rng: &mut Rng, weights: &[f64]) -> usize {
+    let mut remaining = rng.f64() * weights.iter().sum::<f64>();
     for (index, weight) in weights.iter().enumerate() {
-        left -= weight;
-        if left < 0.0 {
+        remaining -= weight;
+        if remaining < 0.0 {
             return index;
         }
     }
     weights.len() - 1
 }
 
-/// Returns text that starts with `title` and has as many tokens as drawn from `range`.
-fn text(rng: &mut Rng, title: &str, range: TokenRange) -> String {
-    let bytes = rng.u32(range.least..=range.most) as usize * TOKEN_BYTES;
+/// Returns random words after `title`, with a total length drawn from `range`.
+fn random_text(rng: &mut Rng, title: &str, range: TokenRange) -> String {
+    let bytes = rng.u32(range.min..=range.max) as usize * TOKEN_BYTES;
     let mut text = title.to_owned();
     while text.len() < bytes {
         text.push(' ');
