--- a/standins/src/engine/models.rs
+++ b/standins/src/engine/models.rs
@@ -67,9 +67,9 @@
         let OrderKind::ServeModels { models } = &order.kind;
         let ordered: Vec<ServedModel> = models
             .iter()
-            .map(|entry| ServedModel {
-                model: entry.model.clone(),
-                weights_version: entry.weights_version.clone(),
+            .map(|listed| ServedModel {
+                model: listed.model.clone(),
+                weights_version: listed.weights_version.clone(),
             })
             .collect();
         self.loaded.retain(|model| ordered.contains(model));
--- a/standins/src/http_server.rs
+++ b/standins/src/http_server.rs
@@ -48,7 +48,7 @@
     /// Returns an error if no port can be bound.
     pub fn start(handler: Handler) -> anyhow::Result<Self> {
         let listener = bind(SocketAddr::from((Ipv4Addr::LOCALHOST, 0)))?;
-        Self::serve(listener, handler)
+        Self::listen(listener, handler)
     }
 
     /// Starts a server on the address of a stopped server, retrying while the port is still in use.
@@ -59,11 +59,11 @@
     pub async fn restart(address: SocketAddr, handler: Handler) -> anyhow::Result<Self> {
         for _ in 0..MAX_BIND_ATTEMPTS {
             if let Ok(listener) = bind(address) {
-                return Self::serve(listener, handler);
+                return Self::listen(listener, handler);
             }
             smol::Timer::after(BIND_RETRY_PAUSE).await;
         }
-        Self::serve(bind(address)?, handler)
+        Self::listen(bind(address)?, handler)
     }
 
     /// Returns the listening address.
@@ -76,7 +76,7 @@
         self.task.cancel().await;
     }
 
-    fn serve(listener: TcpListener, handler: Handler) -> anyhow::Result<Self> {
+    fn listen(listener: TcpListener, handler: Handler) -> anyhow::Result<Self> {
         let address = listener.local_addr().context("listening address of a stand-in")?;
         Ok(Self { address, task: runtime::spawn(accept_connections(listener, handler)) })
     }
@@ -94,9 +94,7 @@
     let accept_loop = async {
         loop {
             match listener.accept().await {
-                Ok((stream, _)) => {
-                    connections.spawn(serve_connection(stream, handler.clone())).detach();
-                }
+                Ok((stream, _)) => connections.spawn(serve(stream, handler.clone())).detach(),
                 Err(error) => log::debug!("event=accept_failed error=\"{error}\""),
             }
         }
@@ -104,7 +102,8 @@
     connections.run(accept_loop).await
 }
 
-async fn serve_connection(stream: TcpStream, handler: Handler) {
+/// Serves the requests of one connection.
+async fn serve(stream: TcpStream, handler: Handler) {
     let service = service_fn(move |request: Request<Incoming>| {
         let handler = handler.clone();
         async move {
--- a/standins/src/log_service.rs
+++ b/standins/src/log_service.rs
@@ -135,8 +135,8 @@
         stream.expire(Duration::from_millis(self.config.retention_ms));
         let next_offset = stream.last_offset + 1;
         let first_offset = stream.records.front().map_or(next_offset, |record| record.offset);
-        let skip = usize::try_from(from.saturating_sub(first_offset)).unwrap_or(usize::MAX);
-        let records = stream.records.iter().skip(skip).take(limit).map(RecordBody::from);
+        let skip_count = usize::try_from(from.saturating_sub(first_offset)).unwrap_or(usize::MAX);
+        let records = stream.records.iter().skip(skip_count).take(limit).map(RecordBody::from);
         PageBody { first_offset, next_offset, records: records.collect() }
     }
 }
