--- a/examples/local_site/site.rs
+++ b/examples/local_site/site.rs
@@ -1,4 +1,4 @@
-//! Stand-ins and nodes of a site.
+//! Running site: its stand-ins and nodes.
 
 use crate::balancer::Balancer;
 use crate::document;
@@ -12,9 +12,9 @@
 use coriandertide::settings::{ControlSettings, Settings};
 use coriandertide_standins::instance_list::Instance;
 use coriandertide_standins::{
-    EngineConfig, EngineStandIn, InstanceListConfig, InstanceListStandIn, KvStoreConfig,
-    KvStoreStandIn, LogServiceConfig, LogServiceStandIn, PlainServiceConfig, PlainServiceStandIn,
-    ServedModel, SiteLedger, WeightStoreConfig, WeightStoreStandIn, ZoneDelays,
+    EngineConfig, EngineStandIn, GroundTruth, InstanceListConfig, InstanceListStandIn,
+    KvStoreConfig, KvStoreStandIn, LogServiceConfig, LogServiceStandIn, PlainServiceConfig,
+    PlainServiceStandIn, ServedModel, WeightStoreConfig, WeightStoreStandIn, ZoneDelays,
 };
 use smol_str::{SmolStr, ToSmolStr, format_smolstr};
 use std::net::SocketAddr;
@@ -22,18 +22,18 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::Duration;
 
-/// Stream of the log that holds the document.
+/// Log stream of the configuration document.
 pub const CONFIGURATION_STREAM: &str = "configuration";
-/// Address that takes a free port.
+/// Loopback address with port 0, which binds a free port.
 const FREE_PORT: SmolStr = SmolStr::new_static("127.0.0.1:0");
 
-/// Running site.
+/// Stand-ins and nodes of a running site.
 pub struct Site {
-    /// Sizes and rates.
+    /// Sizes, rates and traffic.
     pub preset: Preset,
-    /// True figures.
-    pub ledger: Arc<SiteLedger>,
-    /// Delays between the zones.
+    /// Counters of what really happened.
+    pub ground_truth: Arc<GroundTruth>,
+    /// Simulated network between availability zones.
     pub zone_delays: ZoneDelays,
     /// Log service.
     pub log: LogServiceStandIn,
@@ -43,10 +43,10 @@
     pub engines: Vec<EngineStandIn>,
     /// Servers of the plain service.
     pub services: Vec<PlainServiceStandIn>,
-    /// Balancer before the nodes.
+    /// Load balancer in front of the nodes.
     pub balancer: Balancer,
     nodes: Mutex<Vec<Node>>,
-    started_nodes: AtomicU32,
+    started_node_count: AtomicU32,
     policy: PolicyChoice,
     control: ControlSettings,
     kv_store: Option<KvStoreStandIn>,
@@ -54,9 +54,9 @@
 }
 
 impl Site {
-    /// Starts the stand-ins, publishes the document and starts the nodes.
+    /// Starts the stand-ins, publishes the initial document and starts the nodes.
     pub fn start(preset: Preset, policy: PolicyChoice, options: &Options) -> anyhow::Result<Self> {
-        let ledger = SiteLedger::new();
+        let ground_truth = GroundTruth::new();
         let delay = Duration::from_micros(u64::from(preset.zone_delay_us));
         let zone_delays = ZoneDelays::uniform(preset.zones, delay);
         let weight_store = WeightStoreStandIn::start(WeightStoreConfig::default())?;
@@ -65,9 +65,9 @@
         } else {
             None
         };
-        let engine = EngineConfig {
+        let engine_config = EngineConfig {
             models: vec![ServedModel { model: preset.model.into(), weights_version: "1".into() }],
-            running_requests: preset.running_requests as usize,
+            max_running_requests: preset.max_running_requests as usize,
             cache_blocks: preset.cache_blocks as usize,
             prefill_tokens_per_s: preset.prefill_tokens_per_s,
             decode_tokens_per_s: preset.decode_tokens_per_s,
@@ -76,29 +76,29 @@
             request_watts: REQUEST_WATTS,
             poison_marker: Some(POISON_MARKER.to_owned()),
             zone_delays: zone_delays.clone(),
-            ledger: Arc::clone(&ledger),
-            kv_store: kv_store.as_ref().map(KvStoreStandIn::kept),
+            ground_truth: Arc::clone(&ground_truth),
+            kv_store: kv_store.as_ref().map(KvStoreStandIn::stored_prefixes),
             weight_store: Some(weight_store.transfers()),
             ..EngineConfig::default()
         };
         let site = Self {
-            engines: start_engines(&preset, &engine)?,
-            services: start_services(&preset, &ledger)?,
+            engines: start_engines(&preset, &engine_config)?,
+            services: start_services(&preset, &ground_truth)?,
             log: LogServiceStandIn::start(LogServiceConfig::default())?,
             instance_list: InstanceListStandIn::start(InstanceListConfig::default())?,
             balancer: Balancer::default(),
             nodes: Mutex::default(),
-            started_nodes: AtomicU32::new(0),
+            started_node_count: AtomicU32::new(0),
             policy,
             control: control_settings(options),
             kv_store,
             _weight_store: weight_store,
             preset,
-            ledger,
+            ground_truth,
             zone_delays,
         };
         site.register_servers();
-        let document = document::first(&site, options.nodes)?;
+        let document = document::initial_document(&site, options.nodes)?;
         site.log.append(CONFIGURATION_STREAM, ConfigurationRecord::initial(document).encode());
         if policy != PolicyChoice::Omniscient {
             for _ in 0..options.nodes {
@@ -108,9 +108,9 @@
         Ok(site)
     }
 
-    /// Starts a node and registers it.
+    /// Starts a node and adds it to the instance list and the load balancer.
     pub fn start_node(&self) -> anyhow::Result<()> {
-        let number = self.started_nodes.fetch_add(1, Ordering::Relaxed);
+        let number = self.started_node_count.fetch_add(1, Ordering::Relaxed);
         let zone = self.preset.zones[number as usize % self.preset.zones.len()];
         let name = format_smolstr!("entry-{number}");
         let settings = RawSettings {
@@ -127,9 +127,9 @@
             control: self.control,
             ..RawSettings::default()
         };
-        let settings = Settings::try_from(settings).context("settings of a node")?;
+        let settings = Settings::try_from(settings).context("invalid settings of a node")?;
         let node = Node::start(settings)?;
-        self.instance_list.put_shown(Instance {
+        self.instance_list.put_immediately(Instance {
             name: name.to_string(),
             kind: "entry".to_owned(),
             address: node.partner_address(),
@@ -141,31 +141,31 @@
         Ok(())
     }
 
-    /// Takes the node that runs longest out of the site; the caller drains or kills it.
-    pub fn take_node(&self) -> Option<Node> {
+    /// Removes and returns the node started first; the caller drains or kills it.
+    pub fn remove_oldest_node(&self) -> Option<Node> {
         let mut nodes = lock(&self.nodes);
         if nodes.is_empty() { None } else { Some(nodes.remove(0)) }
     }
 
-    /// Takes all nodes out of the site.
-    pub fn take_nodes(&self) -> Vec<Node> {
+    /// Removes and returns all nodes.
+    pub fn remove_all_nodes(&self) -> Vec<Node> {
         std::mem::take(&mut *lock(&self.nodes))
     }
 
-    /// Holds up all threads of one node.
+    /// Pauses all threads of one node for `period`.
     pub fn freeze_node(&self, period: Duration) {
         if let Some(node) = lock(&self.nodes).first() {
             node.freeze(period);
         }
     }
 
-    /// Returns the callers' addresses of all nodes.
+    /// Returns the addresses for callers of all nodes.
     pub fn node_addresses(&self) -> Vec<SocketAddr> {
         lock(&self.nodes).iter().map(Node::caller_address).collect()
     }
 
-    /// Returns the list's record of a backend server.
-    pub fn server_record(&self, engine: &EngineStandIn, state: &str) -> Instance {
+    /// Returns the instance list's entry of an engine in `state`.
+    pub fn server_instance(&self, engine: &EngineStandIn, state: &str) -> Instance {
         Instance {
             name: engine.config().name.clone(),
             kind: "backend_server".to_owned(),
@@ -177,7 +177,7 @@
 
     fn register_servers(&self) {
         for engine in &self.engines {
-            self.instance_list.put_shown(self.server_record(engine, "live"));
+            self.instance_list.put_immediately(self.server_instance(engine, "live"));
         }
     }
 }
@@ -188,15 +188,15 @@
     ControlSettings { poll_bytes_per_s, ..defaults }
 }
 
-fn start_engines(preset: &Preset, engine: &EngineConfig) -> anyhow::Result<Vec<EngineStandIn>> {
+fn start_engines(preset: &Preset, base: &EngineConfig) -> anyhow::Result<Vec<EngineStandIn>> {
     (0..preset.engines)
         .map(|number| {
             EngineStandIn::start(EngineConfig {
                 name: format!("engine-{number:02}"),
                 availability_zone: preset.zones[number as usize % preset.zones.len()].to_owned(),
-                // Both kinds of engine are met: those that check fencing numbers and those that do not.
+                // Covers engines that check fencing numbers as well as those that do not.
                 checks_fencing: number % 2 == 0,
-                ..engine.clone()
+                ..base.clone()
             })
         })
         .collect()
@@ -204,14 +204,14 @@
 
 fn start_services(
     preset: &Preset,
-    ledger: &Arc<SiteLedger>,
+    ground_truth: &Arc<GroundTruth>,
 ) -> anyhow::Result<Vec<PlainServiceStandIn>> {
     (0..preset.service_servers)
         .map(|number| {
             PlainServiceStandIn::start(PlainServiceConfig {
                 name: format!("{}-{number}", preset.service),
                 latency_ms: 10,
-                ledger: Some(Arc::clone(ledger)),
+                ground_truth: Some(Arc::clone(ground_truth)),
             })
         })
         .collect()
--- a/standins/src/lib.rs
+++ b/standins/src/lib.rs
@@ -1,13 +1,14 @@
-//! Small stand-ins for the platform and the backend servers, each on its own loopback port.
+//! In-process test doubles of the platform's services and the backend servers.
 //!
-//! They implement `docs/design/stand_in_protocols.md` without sharing types with the product, and
-//! run together on the few threads of [`runtime`].
+//! Each stand-in listens on its own loopback port and implements its protocol from
+//! `docs/design/stand_in_protocols.md` without sharing types with the product. All of them run on
+//! the threads of [`runtime`].
 
 pub mod engine;
+pub mod ground_truth;
 pub mod http_server;
 pub mod instance_list;
 pub mod kv_store;
-pub mod ledger;
 pub mod log_service;
 pub mod plain_service;
 pub mod runtime;
@@ -15,9 +16,9 @@
 pub mod zones;
 
 pub use engine::{EngineConfig, EngineStandIn, ServedModel};
+pub use ground_truth::GroundTruth;
 pub use instance_list::{InstanceListConfig, InstanceListStandIn};
 pub use kv_store::{KvStoreConfig, KvStoreStandIn};
-pub use ledger::SiteLedger;
 pub use log_service::{LogServiceConfig, LogServiceStandIn};
 pub use plain_service::{PlainServiceConfig, PlainServiceStandIn};
 pub use weight_store::{WeightStoreConfig, WeightStoreStandIn};
