--- a/examples/capacity_slopes/budget.rs
+++ b/examples/capacity_slopes/budget.rs
@@ -153,7 +153,7 @@
 }
 
 fn holds_per_s() -> f64 {
-    NODES * 1_000.0 / PowerSettings::default().renew_ms as f64
+    NODES * 1_000.0 / PowerSettings::default().renew_after_ms as f64
 }
 
 fn routing(costs: &Costs) -> Row {
--- a/examples/capacity_slopes/power.rs
+++ b/examples/capacity_slopes/power.rs
@@ -113,7 +113,7 @@
         records.push(LogRecord { offset: number + 1, appended_at, payload });
     }
     let page = LogPage { first_offset: 1, next_offset: nodes + 1, records };
-    state.apply(PowerEvent::Page { page, from: 1 }, now);
+    state.apply(PowerEvent::Page { page, from_offset: 1 }, now);
     Ok(mean_us(REPEATS, |_| {
         black_box(state.apply(PowerEvent::Tick, now));
     }))
--- a/src/control/placement.rs
+++ b/src/control/placement.rs
@@ -69,7 +69,7 @@
         let decode = timing.ended_at.saturating_duration_since(timing.first_token_at);
         let event = PlacementEvent::AnswerCompleted {
             model: feedback.model.clone(),
-            computed_tokens: feedback.prompt_tokens.saturating_sub(feedback.cached_tokens),
+            prefilled_tokens: feedback.prompt_tokens.saturating_sub(feedback.cached_tokens),
             decode_ms: u64::try_from(decode.as_millis()).unwrap_or(u64::MAX),
         };
         self.placement.apply(event, now);
--- a/src/control/power.rs
+++ b/src/control/power.rs
@@ -59,8 +59,8 @@
 impl ControlState {
     /// Folds the records of a page of the stream `power`.
     pub(super) fn apply_power_page(&mut self, page: LogPage, now: Instant) {
-        let from = self.power.state.next_offset();
-        self.apply_power_event(PowerEvent::Page { page, from }, now);
+        let from_offset = self.power.state.next_offset();
+        self.apply_power_event(PowerEvent::Page { page, from_offset }, now);
     }
 
     /// Applies a message from a partner.
--- a/src/decision/leases/mod.rs
+++ b/src/decision/leases/mod.rs
@@ -178,7 +178,7 @@
             if now < pending.repeat_at {
                 return None;
             }
-            pending.repeat_at = now + Duration::from_millis(self.settings.repeat_ms);
+            pending.repeat_at = now + Duration::from_millis(self.settings.repeat_append_after_ms);
             return Some(pending.record.clone());
         }
         let is_due = match self.held(kind, now) {
@@ -192,7 +192,7 @@
     }
 
     fn renew_at(&self, held: HeldLease) -> Instant {
-        held.deadline - Duration::from_millis(self.settings.lease_ms - self.settings.renew_ms)
+        held.deadline - Duration::from_millis(self.settings.lease_ms - self.settings.renew_after_ms)
     }
 
     /// Creates a record and keeps it as pending until it is read back.
@@ -208,7 +208,7 @@
         let pending = PendingAppend {
             record: record.clone(),
             first_sent_at: now,
-            repeat_at: now + Duration::from_millis(self.settings.repeat_ms),
+            repeat_at: now + Duration::from_millis(self.settings.repeat_append_after_ms),
         };
         self.pending.insert(kind, pending);
         record
--- a/src/decision/placement/demand.rs
+++ b/src/decision/placement/demand.rs
@@ -40,12 +40,12 @@
         &mut self,
         document: &Document,
         model: &ModelId,
-        computed_tokens: u32,
+        prefilled_tokens: u32,
         decode_ms: u64,
         now: Instant,
     ) {
         let Some(rates) = document.models.get(model) else { return };
-        let prefill_s = f64::from(computed_tokens) / f64::from(rates.prefill_tokens_per_s);
+        let prefill_s = f64::from(prefilled_tokens) / f64::from(rates.prefill_tokens_per_s);
         let decode_s = decode_ms as f64 / 1_000.0;
         let busy_s = prefill_s + decode_s / mean_concurrent_requests(document);
         let decayed_s = self.busy_times.get(model).map_or(0.0, |busy| self.decayed_s(*busy, now));
--- a/src/decision/placement/messages.rs
+++ b/src/decision/placement/messages.rs
@@ -24,7 +24,7 @@
         /// Model.
         model: ModelId,
         /// Prompt tokens that the server prefilled.
-        computed_tokens: u32,
+        prefilled_tokens: u32,
         /// Milliseconds from the first token to the last.
         decode_ms: u64,
     },
--- a/src/decision/placement/mod.rs
+++ b/src/decision/placement/mod.rs
@@ -88,8 +88,8 @@
             PlacementEvent::Document(document) => self.set_document(document),
             PlacementEvent::LeavingServers(servers) => self.leaving = servers,
             PlacementEvent::LiveNodes(live_nodes) => self.live_nodes = live_nodes.max(1),
-            PlacementEvent::AnswerCompleted { model, computed_tokens, decode_ms } => {
-                self.demand.add(&self.document, &model, computed_tokens, decode_ms, now);
+            PlacementEvent::AnswerCompleted { model, prefilled_tokens, decode_ms } => {
+                self.demand.add(&self.document, &model, prefilled_tokens, decode_ms, now);
             }
             PlacementEvent::Report { server, report, polled_at } => {
                 self.apply_report(&server, report, polled_at);
--- a/src/decision/power/ended_instances.rs
+++ b/src/decision/power/ended_instances.rs
@@ -66,7 +66,7 @@
         if end.ended_by.is_some() || end.next_probe_at.is_some_and(|at| now < at) {
             return false;
         }
-        end.next_probe_at = Some(now + Duration::from_millis(self.settings.probe_ms));
+        end.next_probe_at = Some(now + Duration::from_millis(self.settings.probe_period_ms));
         true
     }
 
@@ -79,7 +79,7 @@
     pub fn has_work_ended(&self, entry: &ShareEntry, now: Instant) -> bool {
         let end = self.instances.get(&entry.instance);
         let Some(ended_by) = end.and_then(|end| end.ended_by) else { return false };
-        let limit = Duration::from_millis(entry.outlast_ms + self.settings.transit_ms);
+        let limit = Duration::from_millis(entry.outlast_ms + self.settings.request_transit_ms);
         now >= ended_by + limit + drift_margin(entry.outlast_ms)
             || self.are_servers_idle_after(ended_by)
     }
--- a/src/decision/power/ledger.rs
+++ b/src/decision/power/ledger.rs
@@ -53,20 +53,20 @@
 pub struct ShareLedger {
     entries: BTreeMap<InstanceId, TimedEntry>,
     reader: StreamReader<ShareRecord>,
-    transit_ms: u64,
+    request_transit_ms: u64,
 }
 
 impl ShareLedger {
     /// Returns an empty ledger for shares with lease periods of up to `lease_ms`, which requests
-    /// may outlast by `transit_ms`.
-    pub fn new(instance: &InstanceId, lease_ms: u64, transit_ms: u64) -> Self {
-        let reader = StreamReader::new(instance, lease_ms + transit_ms);
-        Self { entries: BTreeMap::new(), reader, transit_ms }
+    /// may outlast by `request_transit_ms`.
+    pub fn new(instance: &InstanceId, lease_ms: u64, request_transit_ms: u64) -> Self {
+        let reader = StreamReader::new(instance, lease_ms + request_transit_ms);
+        Self { entries: BTreeMap::new(), reader, request_transit_ms }
     }
 
     /// Allows shares with lease periods of up to `lease_ms`; a lower value changes nothing.
     pub fn raise_max_lease(&mut self, lease_ms: u64) {
-        self.reader.raise_max_validity(lease_ms + self.transit_ms);
+        self.reader.raise_max_validity(lease_ms + self.request_transit_ms);
     }
 
     /// Returns the offset to read the log from.
@@ -105,15 +105,15 @@
         })
     }
 
-    /// Folds a page that was requested from offset `from`; returns its share records.
+    /// Folds a page that was requested from `from_offset`; returns its share records.
     pub fn fold_page(
         &mut self,
         page: &LogPage,
-        from: LogOffset,
+        from_offset: LogOffset,
         now: Instant,
     ) -> Vec<FoldedRecord> {
         let mut folded = Vec::new();
-        for step in self.reader.read_page(page, from, now) {
+        for step in self.reader.read_page(page, from_offset, now) {
             match step {
                 FoldStep::Replace(entries) => self.replace_entries(entries, now),
                 FoldStep::Change { offset, record } => {
@@ -135,7 +135,7 @@
     }
 
     fn insert(&mut self, entry: ShareEntry, now: Instant) {
-        let transit = Duration::from_millis(self.transit_ms);
+        let transit = Duration::from_millis(self.request_transit_ms);
         let expires_at = reader_deadline(now, entry.lease_ms) + transit;
         self.entries.insert(entry.instance.clone(), TimedEntry { entry, expires_at });
     }
--- a/src/decision/power/messages.rs
+++ b/src/decision/power/messages.rs
@@ -93,8 +93,8 @@
     Page {
         /// Page.
         page: LogPage,
-        /// Offset from which the page was requested.
-        from: LogOffset,
+        /// Offset that the read started from.
+        from_offset: LogOffset,
     },
     /// A partner sent a message.
     Message {
--- a/src/decision/power/mod.rs
+++ b/src/decision/power/mod.rs
@@ -102,7 +102,7 @@
     ) -> Self {
         Self {
             transfers: Transfers::new(instance.clone(), settings, Arc::clone(&account)),
-            ledger: ShareLedger::new(&instance, settings.lease_ms, settings.transit_ms),
+            ledger: ShareLedger::new(&instance, settings.lease_ms, settings.request_transit_ms),
             ended_instances: EndedInstances::new(settings),
             instance,
             address,
@@ -134,7 +134,7 @@
                 self.ended_instances.set_document(&document);
                 commands = self.send_initial_ask(now);
             }
-            PowerEvent::Page { page, from } => self.fold_page(&page, from, now),
+            PowerEvent::Page { page, from_offset } => self.fold_page(&page, from_offset, now),
             PowerEvent::Message { from, message } => {
                 commands = self.receive_message(&from, &message, now)
             }
@@ -241,8 +241,8 @@
         commands
     }
 
-    fn fold_page(&mut self, page: &LogPage, from: LogOffset, now: Instant) {
-        for FoldedRecord { record, is_accepted } in self.ledger.fold_page(page, from, now) {
+    fn fold_page(&mut self, page: &LogPage, from_offset: LogOffset, now: Instant) {
+        for FoldedRecord { record, is_accepted } in self.ledger.fold_page(page, from_offset, now) {
             if record.instance == self.instance {
                 self.apply_own_record(&record, is_accepted);
             }
--- a/src/decision/power/own_share.rs
+++ b/src/decision/power/own_share.rs
@@ -56,7 +56,7 @@
             if now < pending.repeat_at {
                 return None;
             }
-            pending.repeat_at = now + Duration::from_millis(self.settings.repeat_ms);
+            pending.repeat_at = now + Duration::from_millis(self.settings.repeat_append_after_ms);
             return Some(pending.record.clone());
         }
         if self.is_stopping {
@@ -109,8 +109,8 @@
             outlast_ms: self.settings.outlast_ms(),
             address: self.address.clone(),
         };
-        let renew_ms = self.settings.renew_ms.min(lease_ms / MIN_RENEWALS_PER_LEASE);
-        self.renew_at = now + Duration::from_millis(renew_ms);
+        let renew_after_ms = self.settings.renew_after_ms.min(lease_ms / MIN_RENEWALS_PER_LEASE);
+        self.renew_at = now + Duration::from_millis(renew_after_ms);
         self.next_adjust_at = now + Duration::from_millis(MIN_ADJUST_PERIOD_MS);
         self.append(action, now)
     }
@@ -126,7 +126,7 @@
         self.pending_append = Some(PendingAppend {
             record: record.clone(),
             first_sent_at: now,
-            repeat_at: now + Duration::from_millis(self.settings.repeat_ms),
+            repeat_at: now + Duration::from_millis(self.settings.repeat_append_after_ms),
         });
         self.update_share_source();
         record
--- a/src/decision/power/release.rs
+++ b/src/decision/power/release.rs
@@ -31,7 +31,8 @@
             })
             .collect();
         if !released.is_empty() {
-            self.next_release_at = now + Duration::from_millis(self.settings.repeat_ms);
+            self.next_release_at =
+                now + Duration::from_millis(self.settings.repeat_append_after_ms);
         }
         released
             .into_iter()
--- a/src/decision/power/settings.rs
+++ b/src/decision/power/settings.rs
@@ -12,15 +12,18 @@
     /// Milliseconds after which a share expires unless it is renewed: the longest log outage to
     /// bridge, plus the longest request.
     pub lease_ms: u64,
-    /// Milliseconds after which a share is renewed.
-    pub renew_ms: u64,
+    /// Milliseconds from an append until the share is renewed.
+    #[serde(rename = "renew_ms")]
+    pub renew_after_ms: u64,
     /// Milliseconds after which an append that was not read back from the log is repeated.
-    pub repeat_ms: u64,
+    #[serde(rename = "repeat_ms")]
+    pub repeat_append_after_ms: u64,
     /// Maximum time in milliseconds from the start of a request to its deadline.
     pub work_limit_ms: u64,
     /// Maximum time in milliseconds that a request takes to reach its server, by which the server
     /// may run it beyond its deadline.
-    pub transit_ms: u64,
+    #[serde(rename = "transit_ms")]
+    pub request_transit_ms: u64,
     /// Milliseconds between asks while power is lacking; grants that answer an ask later are
     /// returned.
     #[serde(rename = "ask_ms")]
@@ -35,9 +38,11 @@
     /// Maximum age in milliseconds of the state that a server's load report shows.
     pub report_lag_ms: u64,
     /// Milliseconds between probes of an instance that has a share and no link to this node.
-    pub probe_ms: u64,
+    #[serde(rename = "probe_ms")]
+    pub probe_period_ms: u64,
     /// Milliseconds after which an unused grant is returned.
-    pub grant_idle_ms: u64,
+    #[serde(rename = "grant_idle_ms")]
+    pub grant_idle_timeout_ms: u64,
 }
 
 impl PowerSettings {
@@ -51,8 +56,8 @@
     /// that the server runs none of its requests: by then its grants cover no new requests, none is
     /// in transit, and the report does not show an earlier state.
     pub fn idle_proof_delay_ms(&self) -> u64 {
-        let last_grant_ms = self.transit_ms.max(self.ask_period_ms);
-        last_grant_ms + self.contact_timeout_ms + self.transit_ms + self.report_lag_ms
+        let last_grant_ms = self.request_transit_ms.max(self.ask_period_ms);
+        last_grant_ms + self.contact_timeout_ms + self.request_transit_ms + self.report_lag_ms
     }
 }
 
@@ -60,16 +65,16 @@
     fn default() -> Self {
         Self {
             lease_ms: 900_000,
-            renew_ms: 60_000,
-            repeat_ms: 2_000,
+            renew_after_ms: 60_000,
+            repeat_append_after_ms: 2_000,
             work_limit_ms: 120_000,
-            transit_ms: 3_000,
+            request_transit_ms: 3_000,
             ask_period_ms: 400,
             grant_reuse_ms: 30_000,
             contact_timeout_ms: 3_000,
             report_lag_ms: 4_000,
-            probe_ms: 2_000,
-            grant_idle_ms: 2_000,
+            probe_period_ms: 2_000,
+            grant_idle_timeout_ms: 2_000,
         }
     }
 }
--- a/src/decision/power/transfers.rs
+++ b/src/decision/power/transfers.rs
@@ -199,7 +199,7 @@
             return None;
         }
         self.last_grant_number += 1;
-        let expires_at = granted_until + Duration::from_millis(self.settings.transit_ms);
+        let expires_at = granted_until + Duration::from_millis(self.settings.request_transit_ms);
         let given = GivenGrant { asker: from.clone(), ask: *ask, parts, expires_at };
         self.given_grants.insert(self.last_grant_number, given);
         let message = PowerMessage::Grant {
@@ -268,7 +268,7 @@
     }
 
     fn schedule_idle_returns(&mut self, now: Instant) {
-        let idle_return_at = now + Duration::from_millis(self.settings.grant_idle_ms);
+        let idle_return_at = now + Duration::from_millis(self.settings.grant_idle_timeout_ms);
         for (id, grant) in &mut self.received_grants {
             if self.account.is_source_needed(&id.source_id(), now) {
                 grant.return_at = None;
--- a/src/traffic/power_commitment.rs
+++ b/src/traffic/power_commitment.rs
@@ -101,7 +101,7 @@
         }
         let context = Arc::clone(&self.context);
         let (key, request) = (self.key.clone(), self.request.clone());
-        let transit = Duration::from_millis(PowerSettings::default().transit_ms);
+        let transit = Duration::from_millis(PowerSettings::default().request_transit_ms);
         let work = AbandonedWork {
             request,
             server: self.server.clone(),
--- a/tests/power/placement.rs
+++ b/tests/power/placement.rs
@@ -251,8 +251,11 @@
     let mut counts = vec![world.serving(&model)];
     for second in 0..120 {
         let decode_ms = if second < 60 { 22_500 } else { 0 };
-        let event =
-            PlacementEvent::AnswerCompleted { model: model.clone(), computed_tokens: 0, decode_ms };
+        let event = PlacementEvent::AnswerCompleted {
+            model: model.clone(),
+            prefilled_tokens: 0,
+            decode_ms,
+        };
         world.state.apply(event, world.now());
         (0..20).for_each(|_| world.step());
         counts.push(world.serving(&model));
--- a/tests/power/power.rs
+++ b/tests/power/power.rs
@@ -24,10 +24,10 @@
 fn settings() -> PowerSettings {
     PowerSettings {
         lease_ms: 60_000,
-        renew_ms: 10_000,
-        repeat_ms: 1_000,
+        renew_after_ms: 10_000,
+        repeat_append_after_ms: 1_000,
         work_limit_ms: 20_000,
-        transit_ms: 2_000,
+        request_transit_ms: 2_000,
         ask_period_ms: 3_000,
         grant_reuse_ms: 5_000,
         contact_timeout_ms: 3_000,
@@ -262,7 +262,7 @@
         if node.account.try_start(&start, now) != PowerAnswer::Started {
             return false;
         }
-        let late_ms = self.random.u64(..self.settings.transit_ms);
+        let late_ms = self.random.u64(..self.settings.request_transit_ms);
         self.running.push(RunningRequest {
             request: start.request,
             instance: node.instance.clone(),
@@ -327,12 +327,12 @@
             if self.is_paused(index) {
                 continue;
             }
-            let from = self.nodes[index].state.next_offset();
+            let from_offset = self.nodes[index].state.next_offset();
             let node = &self.nodes[index];
             let is_cut = now_ms < node.log_cut_until_ms.max(node.reads_cut_until_ms);
             let is_read = !is_cut && self.random.u8(..) > 40;
-            if let Some(page) = self.log.read(from, now_ms).filter(|_| is_read) {
-                self.apply(index, PowerEvent::Page { page, from });
+            if let Some(page) = self.log.read(from_offset, now_ms).filter(|_| is_read) {
+                self.apply(index, PowerEvent::Page { page, from_offset });
             }
             self.apply(index, PowerEvent::Tick);
             self.report(index);
@@ -518,7 +518,7 @@
 #[test]
 fn share_is_used_until_it_expires_and_no_longer() {
     for seed in 1..40 {
-        let mut world = World::new(seed, PowerSettings { transit_ms: 6_000, ..settings() });
+        let mut world = World::new(seed, PowerSettings { request_transit_ms: 6_000, ..settings() });
         world.lossy_links = false;
         (0..100).for_each(|_| world.step());
         world.nodes[0].log_cut_until_ms = u64::MAX;
@@ -596,7 +596,7 @@
 #[test]
 fn late_grant_is_used_until_it_expires_and_no_longer() {
     for seed in 1..60 {
-        let mut world = World::new(seed, PowerSettings { transit_ms: 600, ..settings() });
+        let mut world = World::new(seed, PowerSettings { request_transit_ms: 600, ..settings() });
         world.lossy_links = false;
         world.grants_are_slow = true;
         (0..100).for_each(|_| world.step());
--- a/tests/power/transfers.rs
+++ b/tests/power/transfers.rs
@@ -46,13 +46,13 @@
     /// Advances time by `period` and reads back the records that the node appends.
     fn advance(&mut self, period: Duration) {
         self.now += period;
-        let from = self.state.next_offset();
+        let from_offset = self.state.next_offset();
         let commands = self.state.apply(PowerEvent::Tick, self.now);
         let payloads = commands.into_iter().filter_map(|command| match command {
             PowerCommand::Append(record) => Some(serde_json::to_vec(&record).unwrap()),
             _ => None,
         });
-        let records: Vec<LogRecord> = (from..)
+        let records: Vec<LogRecord> = (from_offset..)
             .zip(payloads)
             .map(|(offset, payload)| LogRecord {
                 offset,
@@ -60,9 +60,9 @@
                 payload: Bytes::from(payload),
             })
             .collect();
-        let next_offset = from + records.len() as u64;
+        let next_offset = from_offset + records.len() as u64;
         let page = LogPage { first_offset: 1, next_offset, records };
-        self.state.apply(PowerEvent::Page { page, from }, self.now);
+        self.state.apply(PowerEvent::Page { page, from_offset }, self.now);
     }
 
     fn receive_ask(&mut self, asker: &str) -> Vec<PowerCommand> {
