--- a/src/decision/leases/mod.rs
+++ b/src/decision/leases/mod.rs
@@ -29,7 +29,7 @@
 pub struct HeldLease {
     /// Fencing number of orders under the lease: offset of the record that acquired it.
     pub fencing_number: LogOffset,
-    /// When the lease ends.
+    /// From when this node may no longer use the lease, unless it renews it before.
     pub deadline: Instant,
     /// Earliest time for orders to servers that don't check fencing numbers; by then the orders of
     /// earlier holders have taken effect.
@@ -73,7 +73,7 @@
     /// Applies `event` and returns the resulting commands.
     pub fn apply(&mut self, event: LeaseEvent, now: Instant) -> Vec<LeaseCommand> {
         match event {
-            LeaseEvent::Page { page, from_offset } => self.apply_page(&page, from_offset, now),
+            LeaseEvent::Page { page, from_offset } => self.fold_page(&page, from_offset, now),
             LeaseEvent::Desired(kinds) => {
                 self.desired = kinds;
                 self.tick(now)
@@ -104,7 +104,7 @@
         self.table.next_offset()
     }
 
-    fn apply_page(
+    fn fold_page(
         &mut self,
         page: &LogPage,
         from_offset: LogOffset,
@@ -191,6 +191,7 @@
         })
     }
 
+    /// Returns when to renew: `renew_after_ms` after the append behind the deadline was first sent.
     fn renew_at(&self, held: HeldLease) -> Instant {
         held.deadline - Duration::from_millis(self.settings.lease_ms - self.settings.renew_after_ms)
     }
@@ -214,6 +215,7 @@
         record
     }
 
+    /// Releases all held leases, and acquires none from now on.
     fn stop(&mut self, now: Instant) -> Vec<LeaseCommand> {
         self.desired.clear();
         let kinds: Vec<LeaseKind> = self.held.keys().copied().collect();
--- a/src/decision/leases/table.rs
+++ b/src/decision/leases/table.rs
@@ -27,9 +27,9 @@
     pub lease_ms: u64,
 }
 
-/// Lease as read from the log, and when another node may acquire it.
+/// Lease as read from the log, with the time on this node's clock from when others may acquire it.
 #[derive(Clone, Debug)]
-struct ReadLease {
+struct TimedEntry {
     entry: LeaseEntry,
     free_at: Instant,
 }
@@ -38,7 +38,7 @@
 #[derive(Clone, Debug)]
 pub struct LeaseTable {
     reader: StreamReader<LeaseRecord>,
-    entries: BTreeMap<LeaseKind, ReadLease>,
+    entries: BTreeMap<LeaseKind, TimedEntry>,
 }
 
 impl LeaseTable {
@@ -54,7 +54,7 @@
 
     /// Returns the state of `kind` after its last record in force.
     pub fn entry(&self, kind: LeaseKind) -> Option<&LeaseEntry> {
-        self.entries.get(&kind).map(|read| &read.entry)
+        self.entries.get(&kind).map(|timed| &timed.entry)
     }
 
     /// Returns the offset of the last record in force of `kind`, 0 if none.
@@ -65,8 +65,8 @@
     /// Whether `instance` may try to acquire `kind` at `now`.
     pub fn can_acquire(&self, instance: &InstanceId, kind: LeaseKind, now: Instant) -> bool {
         self.reader.is_current()
-            && self.entries.get(&kind).is_none_or(|read| {
-                now >= read.free_at || read.entry.holder.as_ref() == Some(instance)
+            && self.entries.get(&kind).is_none_or(|timed| {
+                now >= timed.free_at || timed.entry.holder.as_ref() == Some(instance)
             })
     }
 
@@ -77,7 +77,7 @@
         }
         self.reader.take_checkpoint_due(now).then(|| StreamRecord::Checkpoint {
             as_of: self.next_offset() - 1,
-            entries: self.entries.values().map(|read| read.entry.clone()).collect(),
+            entries: self.entries.values().map(|timed| timed.entry.clone()).collect(),
         })
     }
 
@@ -91,9 +91,9 @@
         let mut applied = Vec::new();
         for step in self.reader.read_page(page, from_offset, now) {
             match step {
-                FoldStep::Replace(entries) => self.install(entries, now),
+                FoldStep::Replace(entries) => self.replace_entries(entries, now),
                 FoldStep::Change { offset, record } => {
-                    if self.apply(&record, offset, now) {
+                    if self.apply_change(&record, offset, now) {
                         applied.push(record);
                     }
                 }
@@ -102,16 +102,16 @@
         applied
     }
 
-    fn install(&mut self, entries: Vec<LeaseEntry>, now: Instant) {
-        let read = |entry: LeaseEntry| {
+    fn replace_entries(&mut self, entries: Vec<LeaseEntry>, now: Instant) {
+        let timed = |entry: LeaseEntry| {
             let free_at = reader_deadline(now, entry.lease_ms);
-            (entry.kind, ReadLease { entry, free_at })
+            (entry.kind, TimedEntry { entry, free_at })
         };
-        self.entries = entries.into_iter().map(read).collect();
+        self.entries = entries.into_iter().map(timed).collect();
     }
 
     /// Applies a record unless it replaces one that is no longer in force; returns whether it did.
-    fn apply(&mut self, record: &LeaseRecord, offset: LogOffset, now: Instant) -> bool {
+    fn apply_change(&mut self, record: &LeaseRecord, offset: LogOffset, now: Instant) -> bool {
         if record.replaces != self.last_offset(record.kind) {
             return false;
         }
@@ -125,7 +125,7 @@
             LeaseAction::Release => (None, 0, now),
         };
         let entry = LeaseEntry { kind: record.kind, offset, fencing_number, holder, lease_ms };
-        self.entries.insert(record.kind, ReadLease { entry, free_at });
+        self.entries.insert(record.kind, TimedEntry { entry, free_at });
         true
     }
 }
