--- a/src/decision/power/account_state.rs
+++ b/src/decision/power/account_state.rs
@@ -14,7 +14,9 @@
     pub(super) watts: u64,
     pub(super) priority: Priority,
     pub(super) work_deadline: Instant,
+    /// Number of the start within this account; later starts are shed first.
     pub(super) start_number: u64,
+    /// Whether it has been returned for cancellation.
     pub(super) is_shed: bool,
 }
 
@@ -28,7 +30,9 @@
 /// Sources of power and the requests that they cover.
 #[derive(Debug, Default)]
 pub(super) struct AccountState {
+    /// Budget less the idle draw of all servers.
     pub(super) shared_watts: u64,
+    /// Watts of one request on each server.
     pub(super) request_watts: BTreeMap<ServerId, u64>,
     pub(super) sources: BTreeMap<SourceId, PowerSource>,
     pub(super) running: BTreeMap<RequestId, RunningRequest>,
--- a/src/decision/power/ended_instances.rs
+++ b/src/decision/power/ended_instances.rs
@@ -13,11 +13,11 @@
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
-/// Probe state of one instance.
+/// Evidence that an instance has ended, and when to probe it next.
 #[derive(Clone, Copy, Debug, Default)]
 struct InstanceEnd {
-    /// Time by which the process had ended, if known.
-    ended_by: Option<Instant>,
+    /// Time before which the process had ended, if that is known.
+    ended_before: Option<Instant>,
     next_probe_at: Option<Instant>,
 }
 
@@ -44,9 +44,9 @@
         }
     }
 
-    /// Records that the process of `instance` had ended by `ended_by`.
-    pub fn mark_ended(&mut self, instance: InstanceId, ended_by: Instant) {
-        self.instances.entry(instance).or_default().ended_by.get_or_insert(ended_by);
+    /// Records that the process of `instance` had ended before `ended_before`.
+    pub fn mark_ended(&mut self, instance: InstanceId, ended_before: Instant) {
+        self.instances.entry(instance).or_default().ended_before.get_or_insert(ended_before);
     }
 
     /// Discards any evidence that `instance` has ended, because it sent a message.
@@ -63,7 +63,7 @@
     /// Returns whether a probe of `instance` is due and, if so, schedules the next one.
     pub fn take_probe_due(&mut self, instance: &InstanceId, now: Instant) -> bool {
         let end = self.instances.entry(instance.clone()).or_default();
-        if end.ended_by.is_some() || end.next_probe_at.is_some_and(|at| now < at) {
+        if end.ended_before.is_some() || end.next_probe_at.is_some_and(|at| now < at) {
             return false;
         }
         end.next_probe_at = Some(now + Duration::from_millis(self.settings.probe_period_ms));
@@ -78,15 +78,15 @@
     /// Whether no request that the holder of `entry` started or granted power for can still run.
     pub fn has_work_ended(&self, entry: &ShareEntry, now: Instant) -> bool {
         let end = self.instances.get(&entry.instance);
-        let Some(ended_by) = end.and_then(|end| end.ended_by) else { return false };
+        let Some(ended_before) = end.and_then(|end| end.ended_before) else { return false };
         let limit = Duration::from_millis(entry.outlast_ms + self.settings.request_transit_ms);
-        now >= ended_by + limit + drift_margin(entry.outlast_ms)
-            || self.are_servers_idle_after(ended_by)
+        now >= ended_before + limit + drift_margin(entry.outlast_ms)
+            || self.are_servers_idle_after(ended_before)
     }
 
-    fn are_servers_idle_after(&self, ended_by: Instant) -> bool {
+    fn are_servers_idle_after(&self, ended_before: Instant) -> bool {
         let idle_proof_delay_ms = self.settings.idle_proof_delay_ms();
-        let earliest = ended_by
+        let earliest = ended_before
             + Duration::from_millis(idle_proof_delay_ms)
             + drift_margin(idle_proof_delay_ms);
         self.idle_polled_at.values().all(|polled_at| polled_at.is_some_and(|at| at >= earliest))
--- a/src/decision/power/ledger.rs
+++ b/src/decision/power/ledger.rs
@@ -80,7 +80,7 @@
     }
 
     /// Returns the offset of the last accepted record of `instance`, 0 if it has no share.
-    pub fn offset(&self, instance: &InstanceId) -> LogOffset {
+    pub fn last_offset(&self, instance: &InstanceId) -> LogOffset {
         self.entry(instance).map_or(0, |entry| entry.offset)
     }
 
@@ -140,8 +140,10 @@
         self.entries.insert(entry.instance.clone(), TimedEntry { entry, expires_at });
     }
 
+    /// Applies a record, unless it replaces one that is no longer in force or asks for parts that are
+    /// not free; returns whether it did.
     fn apply_change(&mut self, record: &ShareRecord, offset: LogOffset, now: Instant) -> bool {
-        if record.replaces != self.offset(&record.instance) {
+        if record.replaces != self.last_offset(&record.instance) {
             return false;
         }
         let ShareAction::Hold { parts, lease_ms, outlast_ms, address } = &record.action else {
--- a/src/decision/power/mod.rs
+++ b/src/decision/power/mod.rs
@@ -77,12 +77,16 @@
     ledger: ShareLedger,
     held_share: Option<HeldShare>,
     pending_append: Option<PendingAppend>,
+    /// When the share is renewed.
     renew_at: Instant,
+    /// Earliest time of an append that resizes the share before its renewal.
     next_adjust_at: Instant,
+    /// Earliest time of the next release of shares of other instances.
     next_release_at: Instant,
     last_attempt: u64,
     live_nodes: Option<u32>,
     max_nodes: u32,
+    /// From when `live_nodes` is used.
     node_count_valid_at: Instant,
     has_sent_initial_ask: bool,
     transfers: Transfers,
--- a/src/decision/power/own_share.rs
+++ b/src/decision/power/own_share.rs
@@ -35,12 +35,13 @@
         self.pending_append.as_ref().map_or(held.parts, |pending| held.parts.min(pending.parts()))
     }
 
+    /// Drops what has expired, and returns the messages, appends and probes that are due.
     pub(super) fn tick(&mut self, now: Instant) -> Vec<PowerCommand> {
         self.held_share = self.held_share.filter(|held| now < held.deadline);
         self.update_share_source();
         let mut commands = self.transfers.tick(now);
         self.update_share_source();
-        if let Some(record) = self.next_append(now) {
+        if let Some(record) = self.due_append(now) {
             commands.push(PowerCommand::Append(StreamRecord::Change(record)));
         }
         commands.extend(self.ledger.take_due_maintenance(now).map(PowerCommand::Append));
@@ -51,7 +52,9 @@
         commands
     }
 
-    fn next_append(&mut self, now: Instant) -> Option<ShareRecord> {
+    /// Returns the record to append: a pending one to repeat, or a new one that creates, renews or
+    /// resizes the share.
+    fn due_append(&mut self, now: Instant) -> Option<ShareRecord> {
         if let Some(pending) = &mut self.pending_append {
             if now < pending.repeat_at {
                 return None;
@@ -74,7 +77,7 @@
         let surplus_parts = held_parts.saturating_sub(target_parts);
         let released_parts = self.account.take_uncommitted(surplus_parts, now);
         let parts = target_parts + (surplus_parts - released_parts);
-        Some(self.append_hold(parts, self.settings.lease_ms, now))
+        Some(self.start_hold_append(parts, self.settings.lease_ms, now))
     }
 
     /// Parts for each node if all were divided equally. The document's maximum number of nodes
@@ -102,7 +105,8 @@
         }
     }
 
-    fn append_hold(&mut self, parts: u64, lease_ms: u64, now: Instant) -> ShareRecord {
+    /// Creates the record of a share of `parts` and schedules the next renewal.
+    fn start_hold_append(&mut self, parts: u64, lease_ms: u64, now: Instant) -> ShareRecord {
         let action = ShareAction::Hold {
             parts,
             lease_ms,
@@ -112,15 +116,16 @@
         let renew_after_ms = self.settings.renew_after_ms.min(lease_ms / MIN_RENEWALS_PER_LEASE);
         self.renew_at = now + Duration::from_millis(renew_after_ms);
         self.next_adjust_at = now + Duration::from_millis(MIN_ADJUST_PERIOD_MS);
-        self.append(action, now)
+        self.start_append(action, now)
     }
 
-    fn append(&mut self, action: ShareAction, now: Instant) -> ShareRecord {
+    /// Creates a record and keeps it as pending until it is read back.
+    fn start_append(&mut self, action: ShareAction, now: Instant) -> ShareRecord {
         self.last_attempt += 1;
         let record = ShareRecord {
             instance: self.instance.clone(),
             attempt: self.last_attempt,
-            replaces: self.ledger.offset(&self.instance),
+            replaces: self.ledger.last_offset(&self.instance),
             action,
         };
         self.pending_append = Some(PendingAppend {
@@ -142,11 +147,11 @@
         let used_parts = guaranteed_parts - self.account.take_uncommitted(guaranteed_parts, now);
         let used_until = self.transfers.last_grant_expiry().max(self.account.last_work_deadline());
         let record = match used_until.filter(|_| used_parts > 0) {
-            None => self.append(ShareAction::Release, now),
+            None => self.start_append(ShareAction::Release, now),
             Some(used_until) => {
                 let remaining = used_until.min(held.deadline).saturating_duration_since(now);
                 let lease_ms = u64::try_from(remaining.as_millis()).unwrap_or(u64::MAX / 4) + 1;
-                self.append_hold(used_parts, lease_ms, now)
+                self.start_hold_append(used_parts, lease_ms, now)
             }
         };
         commands.push(PowerCommand::Append(StreamRecord::Change(record)));
--- a/src/decision/power/release.rs
+++ b/src/decision/power/release.rs
@@ -10,7 +10,7 @@
 const RELEASE_SPREAD_MS: u64 = 2_000;
 
 /// Maximum number of instances probed in one tick.
-const PROBES_PER_TICK: usize = 2;
+const MAX_PROBES_PER_TICK: usize = 2;
 
 impl PowerState {
     /// Releases the shares of other instances whose power nothing can use any more.
@@ -60,7 +60,7 @@
             }
             if *address == self.address {
                 self.ended_instances.mark_ended(instance.clone(), self.started_at);
-            } else if commands.len() < PROBES_PER_TICK
+            } else if commands.len() < MAX_PROBES_PER_TICK
                 && self.ended_instances.take_probe_due(instance, now)
             {
                 let (instance, address) = (instance.clone(), address.clone());
--- a/src/decision/power/transfers.rs
+++ b/src/decision/power/transfers.rs
@@ -3,7 +3,8 @@
 //! A node that lacks power sends asks to partners, which answer with grants from their own shares.
 //! The giver stops using the parts before it sends the grant, and the receiver counts the validity
 //! of the grant from when it sent the ask, which is before the giver starts counting. So a lost
-//! message leaves parts unused until the grant expires, and never lets two nodes use them.
+//! message never lets two nodes use the same parts. It leaves them unused until the grant expires or
+//! the next ask of the receiver, which does not list the grant, lets the giver reclaim them.
 
 use super::account::{PowerAccount, PowerDeficit, PowerSource, SourceId};
 use super::messages::{PowerCommand, PowerMessage, TOTAL_PARTS};
@@ -38,7 +39,8 @@
     number: u64,
     sent_at: Instant,
     closes_at: Instant,
-    deficit_parts: u64,
+    /// Parts requested and not granted yet.
+    remaining_parts: u64,
     /// Grants that answered the ask, so that a repeated message is recognized after a return.
     seen_grants: BTreeSet<GrantId>,
 }
@@ -85,6 +87,7 @@
     /// Until when this node counts as lacking `deficit_parts`.
     deficit_until: Option<Instant>,
     deficit_parts: u64,
+    /// Minimum parts of the next ask, 0 unless power is lacking.
     min_ask_parts: u64,
     received_grants: BTreeMap<GrantId, ReceivedGrant>,
     given_grants: BTreeMap<u64, GivenGrant>,
@@ -160,12 +163,12 @@
         let Some(open) = self.ask.as_mut().filter(answers_open_ask) else {
             return Some(return_message(&id));
         };
-        if !open.seen_grants.insert(id.clone()) || open.deficit_parts == 0 {
+        if !open.seen_grants.insert(id.clone()) || open.remaining_parts == 0 {
             return Some(return_message(&id));
         }
         let deadline = open.sent_at + Duration::from_millis(*valid_ms);
-        open.deficit_parts = open.deficit_parts.saturating_sub(*parts);
-        if open.deficit_parts == 0 {
+        open.remaining_parts = open.remaining_parts.saturating_sub(*parts);
+        if open.remaining_parts == 0 {
             open.closes_at = now;
         }
         let start_deadline = now + Duration::from_millis(self.settings.contact_timeout_ms);
@@ -243,7 +246,7 @@
         commands
     }
 
-    /// Returns all grants that running requests do not need immediately, unless power is lacking.
+    /// Returns at once all grants that running requests do not need, unless power is lacking.
     pub fn return_all_unneeded(&mut self, now: Instant) -> Vec<PowerCommand> {
         let has_deficit = self.has_deficit(now);
         for grant in self.received_grants.values_mut() {
@@ -348,7 +351,7 @@
             number: self.last_ask_number,
             sent_at: now,
             closes_at: now + Duration::from_millis(self.settings.ask_period_ms),
-            deficit_parts: parts,
+            remaining_parts: parts,
             seen_grants: BTreeSet::new(),
         });
         let needed = deficit.needed_until.saturating_duration_since(now);
