--- a/src/decision/membership/mod.rs
+++ b/src/decision/membership/mod.rs
@@ -32,7 +32,7 @@
     /// Partner listeners on the instance list, dialed to find members.
     seeds: Vec<SocketAddr>,
     /// Index in `seeds` of the next address to consider for a dial.
-    next_seed: usize,
+    next_seed_index: usize,
     next_ping_at: Option<Instant>,
 }
 
@@ -78,7 +78,7 @@
             links: BTreeMap::new(),
             backoffs: BTreeMap::new(),
             seeds: Vec::new(),
-            next_seed: 0,
+            next_seed_index: 0,
             next_ping_at: None,
         }
     }
@@ -397,8 +397,8 @@
     fn dial_seeds(&mut self, now: Instant, commands: &mut Vec<MembershipCommand>) {
         let mut dials = 0;
         for _ in 0..self.seeds.len() {
-            let address = self.seeds[self.next_seed % self.seeds.len()];
-            self.next_seed = (self.next_seed + 1) % self.seeds.len();
+            let address = self.seeds[self.next_seed_index % self.seeds.len()];
+            self.next_seed_index = (self.next_seed_index + 1) % self.seeds.len();
             let is_known =
                 address == self.local.address || self.members.live_by_address(address).is_some();
             if is_known || !self.may_dial(address, now) {
@@ -406,7 +406,7 @@
             }
             self.dial(address, now, commands);
             dials += 1;
-            if dials == self.settings.seed_dials_per_period {
+            if dials == self.settings.max_seed_dials_per_period {
                 return;
             }
         }
--- a/src/decision/membership/settings.rs
+++ b/src/decision/membership/settings.rs
@@ -21,8 +21,8 @@
     pub surplus_link_grace_ms: u64,
     /// Consecutive pings with a differing digest after which the whole member set is sent.
     pub resync_after_mismatches: u32,
-    /// Maximum number of seed addresses dialed per ping period.
-    pub seed_dials_per_period: usize,
+    /// Maximum number of seed addresses without a known live member dialed per ping period.
+    pub max_seed_dials_per_period: usize,
 }
 
 impl Default for MembershipSettings {
@@ -37,7 +37,7 @@
             redial_delay_ms: 1_000,
             surplus_link_grace_ms: 10_000,
             resync_after_mismatches: 5,
-            seed_dials_per_period: 2,
+            max_seed_dials_per_period: 2,
         }
     }
 }
