--- a/src/decision/leaving/mod.rs
+++ b/src/decision/leaving/mod.rs
@@ -77,7 +77,9 @@
     reported_incarnation: Incarnation,
     /// Incarnations that are leaving; 0 stands for the one in the instance list.
     leaving_incarnations: BTreeSet<Incarnation>,
+    /// Whether the last instance list that named the server showed it as leaving.
     is_listed_leaving: bool,
+    /// When the server no longer counts as leaving, if no source reports it again.
     expires_at: Option<Instant>,
 }
 
@@ -136,8 +138,9 @@
         changes
     }
 
-    /// Applies a server that the list shows as leaving. Only the first such list counts: one that
-    /// still shows it as leaving says nothing about a later incarnation.
+    /// Applies a server that the list shows as leaving. Only the first such list marks an
+    /// incarnation as leaving. Later ones only postpone the expiry, since they say nothing about an
+    /// incarnation that has started meanwhile.
     fn apply_listed_leaving(&mut self, name: &ServerId, now: Instant) -> Option<LeavingChange> {
         let server = self.servers.entry(name.clone()).or_default();
         if std::mem::replace(&mut server.is_listed_leaving, true) {
