--- a/src/decision/claims/append_queue.rs
+++ b/src/decision/claims/append_queue.rs
@@ -9,9 +9,9 @@
 const MAX_BATCH_ENTRIES: usize = 256;
 /// Maximum appends in quick succession after an idle period.
 const MAX_BURST_APPENDS: u32 = 8;
-/// Wait after the first failed append; it doubles up to [`MAX_BACKOFF_MS`].
+/// Milliseconds to wait after the first failed append; the wait doubles up to [`MAX_BACKOFF_MS`].
 const INITIAL_BACKOFF_MS: u64 = 50;
-/// Maximum wait after a failed append.
+/// Maximum milliseconds to wait after a failed append.
 const MAX_BACKOFF_MS: u64 = 1_000;
 /// Consecutive failed appends after which the log counts as down.
 const LOG_DOWN_FAILURES: u32 = 3;
--- a/src/decision/claims/settings.rs
+++ b/src/decision/claims/settings.rs
@@ -3,7 +3,7 @@
 use crate::types::Faults;
 use std::time::Duration;
 
-/// Minimum time for which the log must keep records beyond the deduplication window.
+/// Minimum milliseconds for which the log must keep records beyond the deduplication window.
 const MIN_RETENTION_MARGIN_MS: u64 = 60_000;
 
 /// Settings of the claims decision; all nodes must have the same.
@@ -12,7 +12,7 @@
     /// Milliseconds after its first use, or after the creation time in the key, for which a key is
     /// valid.
     pub key_age_ms: u64,
-    /// Maximum difference between the clocks of callers and of the log.
+    /// Maximum difference in milliseconds between the clocks of callers and of the log.
     pub clock_skew_ms: u64,
     /// Milliseconds for which the log keeps records.
     pub log_retention_ms: u64,
