--- a/src/decision/configuration/record.rs
+++ b/src/decision/configuration/record.rs
@@ -45,7 +45,8 @@
 /// Changes of one or more sections, accepted atomically.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Edit {
-    /// Id chosen by the author; another record with the same id has no effect.
+    /// Id chosen by the author; another record with the same id has no effect while the history of
+    /// the state holds this one.
     pub edit_id: EditId,
     /// Name of the owner whose key was used.
     pub author: SmolStr,
