--- a/src/decision/placement/mod.rs
+++ b/src/decision/placement/mod.rs
@@ -63,7 +63,7 @@
     servers: BTreeMap<ServerId, ServerState>,
     /// Highest fencing number among the orders of this node that servers rejected as outdated.
     max_fenced_number: LogOffset,
-    /// Fencing number of the lease for which orders are pending.
+    /// Fencing number of the held lease, under which the pending orders were sent.
     active_fencing_number: Option<LogOffset>,
 }
 
@@ -216,8 +216,8 @@
         })
     }
 
-    /// Polls the servers that are due: loading ones first and at each tick, the others once in each
-    /// poll period.
+    /// Polls the servers that are due, loading ones first. A server that is loading or has not
+    /// reported is due at each tick, any other once in each poll period.
     fn poll_due_servers(&mut self, now: Instant) -> Vec<PlacementCommand> {
         let mut due: Vec<(bool, Option<Instant>, &ServerId)> = self
             .servers
--- a/src/decision/placement/plan.rs
+++ b/src/decision/placement/plan.rs
@@ -44,7 +44,7 @@
 }
 
 impl Plan<'_> {
-    /// Adds servers to the models that have too few, the model that lacks most first.
+    /// Adds servers to the models that have too few for `reason`, the model that lacks most first.
     fn add_servers(&mut self, reason: PlacementReason) {
         while self.remaining_loads > 0 {
             let missing = |model: &ModelId| {
@@ -167,8 +167,8 @@
         self.orders.push(PlannedOrder { server, models, model, reason });
     }
 
-    /// Updates servers to the weights and adapters of the document, as far as each model with other
-    /// servers keeps one that is not loading.
+    /// Reloads servers with outdated weights or adapters. A model with several servers always keeps
+    /// one that is not loading, so that it stays available.
     fn update_weights(&mut self) {
         for model in self.document.models.keys() {
             while self.remaining_loads > 0 {
@@ -222,13 +222,13 @@
         target_model(self.document, &loaded.model).is_some_and(|target| target != *loaded)
     }
 
-    /// Whether each outdated model of a server has another server that is not loading, or no other
-    /// server at all.
+    /// Whether each outdated model of a server has another server that may get an order as well, and
+    /// so is not loading, or no other server at all.
     fn can_reload(&self, view: &ServerView) -> bool {
         view.models.iter().filter(|loaded| self.is_outdated(loaded)).all(|loaded| {
-            let is_not_loading = |view: &&ServerView| view.may_order && serves(view, &loaded.model);
+            let can_serve = |view: &&ServerView| view.may_order && serves(view, &loaded.model);
             let in_service = self.servers.values().filter(|view| view.is_in_service);
-            self.serving_count(&loaded.model) == 1 || in_service.filter(is_not_loading).count() >= 2
+            self.serving_count(&loaded.model) == 1 || in_service.filter(can_serve).count() >= 2
         })
     }
 
