--- a/tests/power/main.rs
+++ b/tests/power/main.rs
@@ -1,6 +1,6 @@
 //! Leases, placement and power against simple reference models, in virtual time.
 
-#![allow(clippy::unwrap_used, reason = "a failed step of a test is to panic")]
+#![allow(clippy::unwrap_used, reason = "a failed step must fail the test")]
 
 mod leases;
 mod placement;
--- a/tests/power/power.rs
+++ b/tests/power/power.rs
@@ -17,8 +17,10 @@
 const SERVERS: usize = 3;
 const IDLE_WATTS: u64 = 100;
 const BUDGETS_WATTS: [u64; 3] = [1_500, 3_300, 900];
+/// Retention of the log: records younger than this never expire.
 const RETENTION_MS: u64 = 150_000;
-const CLOCK_PER_MILLE: [u64; 4] = [996, 1_000, 1_004, 999];
+/// Rates of the nodes' clocks, in thousandths of true time.
+const CLOCK_RATES_PER_MILLE: [u64; 4] = [996, 1_000, 1_004, 999];
 
 /// Settings with short leases, so that shares expire often, and a long period for asks.
 fn settings() -> PowerSettings {
@@ -70,7 +72,7 @@
 }
 
 fn op() -> impl Strategy<Value = Op> {
-    let node = 0..CLOCK_PER_MILLE.len();
+    let node = 0..CLOCK_RATES_PER_MILLE.len();
     prop_oneof![
         6 => (1..100u64).prop_map(|steps| Op::Advance { steps }),
         4 => (node.clone(), 0..SERVERS, prop::option::weighted(0.6, 1_000..20_000u64))
@@ -138,7 +140,8 @@
     edited: usize,
     counter: u64,
     peak_watts: u64,
-    reclaimed: usize,
+    /// Probes that found the address of an instance closed.
+    refused_probes: usize,
     /// Whether each server ran any request, at each step so far.
     busy: Vec<[bool; SERVERS]>,
     transfers: usize,
@@ -160,12 +163,12 @@
             edited: 0,
             counter: 0,
             peak_watts: 0,
-            reclaimed: 0,
+            refused_probes: 0,
             busy: Vec::new(),
             transfers: 0,
         };
         let epoch = Instant::now();
-        for (index, per_mille) in CLOCK_PER_MILLE.iter().enumerate() {
+        for (index, per_mille) in CLOCK_RATES_PER_MILLE.iter().enumerate() {
             let node =
                 world.start_node(Clock::new(epoch, *per_mille), format!("10.0.0.{index}:7000"), 0);
             world.nodes.push(node);
@@ -405,7 +408,7 @@
                 PowerCommand::Probe { instance, address } => {
                     let listens = |node: &Node| node.address == address.as_str();
                     if !self.nodes.iter().any(listens) {
-                        self.reclaimed += 1;
+                        self.refused_probes += 1;
                         self.apply(index, PowerEvent::InstanceEnded(instance));
                     }
                 }
@@ -566,7 +569,7 @@
 /// before these requests must not release the share; reports from after them must.
 #[test]
 fn idle_reports_release_the_share_of_an_ended_node_but_not_early() {
-    let mut reclaimed_ms = Vec::new();
+    let mut release_ms = Vec::new();
     for seed in 1..40 {
         let mut world = World::new(seed, settings());
         world.lossy_links = false;
@@ -584,10 +587,10 @@
         while world.nodes[1].state.share(&ended).is_some() {
             world.step();
         }
-        reclaimed_ms.push(world.now_ms - ended_at_ms);
+        release_ms.push(world.now_ms - ended_at_ms);
     }
-    reclaimed_ms.sort();
-    let figures = format!("{} to {} ms", reclaimed_ms[0], reclaimed_ms[reclaimed_ms.len() - 1]);
+    release_ms.sort();
+    let figures = format!("{} to {} ms", release_ms[0], release_ms[release_ms.len() - 1]);
     insta::assert_snapshot!(figures, @"12200 to 14000 ms");
 }
 
--- a/tests/power/power_account.rs
+++ b/tests/power/power_account.rs
@@ -16,9 +16,9 @@
 
 #[derive(Clone, Debug)]
 enum Op {
-    Start { ends: u64 },
+    Start { deadline: u64 },
     Finish { pick: usize },
-    SetSource { id: u64, parts: u64, ends: u64, starts: u64 },
+    SetSource { id: u64, parts: u64, deadline: u64, start_deadline: u64 },
     Reduce { id: u64, parts: u64 },
     TakeUncommitted { parts: u64 },
     AdvanceTime,
@@ -26,10 +26,12 @@
 
 fn op() -> impl Strategy<Value = Op> {
     prop_oneof![
-        4 => (1..MOMENTS).prop_map(|ends| Op::Start { ends }),
+        4 => (1..MOMENTS).prop_map(|deadline| Op::Start { deadline }),
         1 => any::<usize>().prop_map(|pick| Op::Finish { pick }),
         2 => (0..3u64, 0..TOTAL_PARTS / 3, 1..MOMENTS, 1..MOMENTS)
-            .prop_map(|(id, parts, ends, starts)| Op::SetSource { id, parts, ends, starts }),
+            .prop_map(|(id, parts, deadline, start_deadline)| {
+                Op::SetSource { id, parts, deadline, start_deadline }
+            }),
         1 => (0..3u64, 0..TOTAL_PARTS / 3).prop_map(|(id, parts)| Op::Reduce { id, parts }),
         1 => (0..TOTAL_PARTS / 3).prop_map(|parts| Op::TakeUncommitted { parts }),
         1 => Just(Op::AdvanceTime),
@@ -54,16 +56,19 @@
 impl ReferenceAccount {
     fn is_covered(&self, now: u64) -> bool {
         (now..=MOMENTS).all(|moment| {
-            let running = self.running.iter().filter(|(_, ends)| *ends > moment || moment == now);
-            let sources = self.sources.iter().filter(|(_, _, ends, _)| *ends > moment);
+            let running =
+                self.running.iter().filter(|(_, deadline)| *deadline > moment || moment == now);
+            let sources = self.sources.iter().filter(|(_, _, deadline, _)| *deadline > moment);
             let parts: u64 = sources.map(|(_, parts, ..)| parts).sum();
             running.count() as u64 * REQUEST_WATTS * TOTAL_PARTS <= parts * BUDGET_WATTS
         })
     }
 
     fn can_start_all(&self, now: u64) -> bool {
-        let sources =
-            self.sources.iter().filter(|(_, _, ends, starts)| *ends > now && *starts > now);
+        let sources = self
+            .sources
+            .iter()
+            .filter(|(_, _, deadline, start_deadline)| *deadline > now && *start_deadline > now);
         let parts: u64 = sources.map(|(_, parts, ..)| parts).sum();
         self.running.len() as u64 * REQUEST_WATTS * TOTAL_PARTS <= parts * BUDGET_WATTS
     }
@@ -104,15 +109,15 @@
         let mut now = 0;
         for (number, op) in (0..).zip(ops) {
             match op {
-                Op::Start { ends } => {
+                Op::Start { deadline } => {
                     let start = PowerRequest {
                         request: number.to_string().into(),
                         server: "server".into(),
                         priority: Priority::Normal,
-                        work_deadline: at(ends),
+                        work_deadline: at(deadline),
                     };
                     let mut started = reference.clone();
-                    started.running.push((number, ends));
+                    started.running.push((number, deadline));
                     let answer = account.try_start(&start, at(now));
                     let expected = started.is_covered(now) && started.can_start_all(now);
                     prop_assert_eq!(answer == PowerAnswer::Started, expected);
@@ -125,10 +130,14 @@
                     account.finish(&number.to_string().into());
                 }
                 Op::Finish { .. } => {}
-                Op::SetSource { id, parts, ends, starts } => {
+                Op::SetSource { id, parts, deadline, start_deadline } => {
                     reference.sources.retain(|(source, ..)| *source != id);
-                    reference.sources.push((id, parts, ends, starts));
-                    let source = PowerSource { parts, deadline: at(ends), start_deadline: at(starts) };
+                    reference.sources.push((id, parts, deadline, start_deadline));
+                    let source = PowerSource {
+                        parts,
+                        deadline: at(deadline),
+                        start_deadline: at(start_deadline),
+                    };
                     account.set_source(source_id(id), source);
                 }
                 Op::Reduce { id, parts } => {
@@ -146,7 +155,7 @@
                     let reduced = reference.with_parts(0, |last| last - taken);
                     prop_assert!(taken == 0 || reduced.is_covered(now));
                     let further = reference.with_parts(0, |last| last.saturating_sub(taken + 1));
-                    let shares = reference.sources.iter().filter(|(source, _, ends, _)| *source == 0 && *ends > now);
+                    let shares = reference.sources.iter().filter(|(source, _, deadline, _)| *source == 0 && *deadline > now);
                     let share: u64 = shares.map(|(_, parts, ..)| parts).sum();
                     prop_assert!(taken == parts || taken == share || !further.is_covered(now));
                     reference = reduced;
--- a/tests/power/world.rs
+++ b/tests/power/world.rs
@@ -6,7 +6,7 @@
 use std::time::{Duration, Instant, SystemTime};
 
 /// Maximum number of records in a page; small, so that readers lag behind.
-const PAGE_RECORDS: usize = 16;
+const MAX_PAGE_RECORDS: usize = 16;
 
 /// Returns the configuration of a property test; `COT_PROPTEST_CASES` sets the number of cases.
 pub fn config(seed: u64) -> Config {
@@ -99,7 +99,7 @@
             return None;
         }
         let first = self.expired.max(from as usize - 1).min(self.records.len());
-        let records = self.records[first..].iter().take(PAGE_RECORDS).cloned().collect();
+        let records = self.records[first..].iter().take(MAX_PAGE_RECORDS).cloned().collect();
         Some(LogPage {
             first_offset: self.expired as u64 + 1,
             next_offset: self.records.len() as u64 + 1,
