--- a/tests/configuration/decoders.rs
+++ b/tests/configuration/decoders.rs
@@ -28,7 +28,7 @@
 }
 
 fn is_explained(result: Result<ConfigurationRecord, RecordError>) -> bool {
-    result.err().is_none_or(|fault| !fault.to_string().is_empty())
+    result.err().is_none_or(|error| !error.to_string().is_empty())
 }
 
 proptest! {
