--- a/src/decision/claims/fold.rs
+++ b/src/decision/claims/fold.rs
@@ -147,7 +147,7 @@
     }
 
     /// Continues at `first_offset` after records expired unread. If they expired within a window
-    /// after the last complete read, claims that still count may be lost.
+    /// after the last complete read, claims within the window may be lost.
     fn skip_expired(&mut self, first_offset: LogOffset, now: Instant) {
         let dedup_window = Duration::from_millis(self.dedup_window_ms);
         if self.caught_up_at.is_some_and(|caught_up_at| now < caught_up_at + dedup_window) {
@@ -177,6 +177,7 @@
         }
     }
 
+    /// Folds an entry. A key whose last claim lies before the window is free again.
     fn fold_entry(
         &mut self,
         entry: ClaimEntry,
--- a/src/decision/claims/local.rs
+++ b/src/decision/claims/local.rs
@@ -17,7 +17,8 @@
     pub callers: Vec<Caller>,
 }
 
-/// Phase of a local claim. The node drops the claim at `remove_at`, a timed-out one at `reuse_until`.
+/// Phase of a local claim. The node drops the claim at `remove_at`, or a timed-out one at
+/// `reuse_until`.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(super) enum Phase {
     /// The claim is queued or appended, and its record has not been read from the log.
--- a/src/decision/claims/record.rs
+++ b/src/decision/claims/record.rs
@@ -18,7 +18,8 @@
 /// Hash of an idempotency key within its workspace and service.
 pub type KeyHash = u128;
 
-/// Hash of a call's method, path and body; tells a retry from a key reused for another call.
+/// Hash of a call's method, path and body; distinguishes a retry from a key reused for
+/// another call.
 pub type Fingerprint = u64;
 
 /// Id of a claim, unique over all instances.
--- a/src/decision/configuration/follower.rs
+++ b/src/decision/configuration/follower.rs
@@ -191,6 +191,8 @@
         self.state.as_ref().map_or(0, |state| state.applied)
     }
 
+    /// Buffers the records of a page that are not folded yet. A stream that still has its first
+    /// record starts from the empty state.
     fn buffer_page(&mut self, page: LogPage, commands: &mut Vec<ConfigurationCommand>) {
         let has_stream_start = page.first_offset <= 1;
         if self.state.is_none() && has_stream_start {
@@ -247,6 +249,7 @@
         self.folded_records = FoldedRecords::default();
     }
 
+    /// Folds the buffered records that follow the state, up to a gap or a record of a later format.
     fn fold_buffered(&mut self, commands: &mut Vec<ConfigurationCommand>) {
         let Some(state) = &mut self.state else {
             return;
--- a/src/decision/placement/mod.rs
+++ b/src/decision/placement/mod.rs
@@ -138,6 +138,8 @@
         });
     }
 
+    /// Plans orders and polls servers while this node holds the lease; pending orders of an earlier
+    /// lease are dropped.
     fn tick(&mut self, lease: Option<HeldLease>, now: Instant) -> Vec<PlacementCommand> {
         let lease = lease.filter(|lease| lease.fencing_number > self.max_fenced_number);
         let fencing_number = lease.map(|lease| lease.fencing_number);
@@ -154,6 +156,8 @@
         commands
     }
 
+    /// Returns the next orders. There are none until every server has reported or is unreachable,
+    /// since a server without a report counts as out of service.
     fn plan_orders(&mut self, lease: HeldLease, now: Instant) -> Vec<PlacementCommand> {
         let target_servers = self.demand.target_servers(&self.document, self.live_nodes, now);
         let servers = self
--- a/src/decision/placement/plan.rs
+++ b/src/decision/placement/plan.rs
@@ -222,8 +222,8 @@
         target_model(self.document, &loaded.model).is_some_and(|target| target != *loaded)
     }
 
-    /// Whether each outdated model of a server has another server that may get an order as well, and
-    /// so is not loading, or no other server at all.
+    /// Whether each outdated model of a server has another server that may get an order as well (so
+    /// is not loading), or no other server at all.
     fn can_reload(&self, view: &ServerView) -> bool {
         view.models.iter().filter(|loaded| self.is_outdated(loaded)).all(|loaded| {
             let can_serve = |view: &&ServerView| view.may_order && serves(view, &loaded.model);
--- a/src/decision/placement/settings.rs
+++ b/src/decision/placement/settings.rs
@@ -19,7 +19,7 @@
     /// Milliseconds for which demand must stay low before a server is freed.
     #[serde(rename = "lower_after_ms")]
     pub scale_down_after_ms: u64,
-    /// Milliseconds after which past demand counts half.
+    /// Half-life of past demand in milliseconds.
     pub demand_half_life_ms: u64,
     /// Milliseconds after which an order that no load report shows as fulfilled is planned anew.
     pub order_timeout_ms: u64,
--- a/src/decision/power/ledger.rs
+++ b/src/decision/power/ledger.rs
@@ -140,7 +140,7 @@
         self.entries.insert(entry.instance.clone(), TimedEntry { entry, expires_at });
     }
 
-    /// Applies a record, unless it replaces one that is no longer in force or asks for parts that are
+    /// Applies a record, unless it replaces one that is no longer in force or needs parts that are
     /// not free; returns whether it did.
     fn apply_change(&mut self, record: &ShareRecord, offset: LogOffset, now: Instant) -> bool {
         if record.replaces != self.last_offset(&record.instance) {
--- a/src/decision/power/mod.rs
+++ b/src/decision/power/mod.rs
@@ -230,6 +230,7 @@
         }
     }
 
+    /// Answers an ask from the own share, after returning the received grants that are not needed.
     fn answer_ask(
         &mut self,
         from: &InstanceId,
@@ -253,6 +254,8 @@
         }
     }
 
+    /// Applies a record of this instance. Only the pending append extends the share, since the send
+    /// time of other records is unknown; an accepted record of another append can only shrink it.
     fn apply_own_record(&mut self, record: &ShareRecord, is_accepted: bool) {
         let pending = self.pending_append.take_if(|pending| pending.record == *record);
         if !is_accepted {
--- a/src/decision/power/own_share.rs
+++ b/src/decision/power/own_share.rs
@@ -80,8 +80,8 @@
         Some(self.start_hold_append(parts, self.settings.lease_ms, now))
     }
 
-    /// Parts for each node if all were divided equally. The document's maximum number of nodes
-    /// counts until links have had time to open.
+    /// Parts for each node if all were divided equally. Until links have had time to open, the
+    /// document's maximum number of nodes is assumed.
     fn fair_parts(&self, now: Instant) -> u64 {
         let counted_nodes = self.live_nodes.filter(|_| now >= self.node_count_valid_at);
         let nodes = counted_nodes.unwrap_or(self.max_nodes).clamp(1, self.max_nodes);
--- a/src/decision/power/transfers.rs
+++ b/src/decision/power/transfers.rs
@@ -3,8 +3,9 @@
 //! A node that lacks power sends asks to partners, which answer with grants from their own shares.
 //! The giver stops using the parts before it sends the grant, and the receiver counts the validity
 //! of the grant from when it sent the ask, which is before the giver starts counting. So a lost
-//! message never lets two nodes use the same parts. It leaves them unused until the grant expires or
-//! the next ask of the receiver, which does not list the grant, lets the giver reclaim them.
+//! message never lets two nodes use the same parts. It leaves them unused until the grant expires,
+//! or until the next ask of the receiver, which does not list the grant, lets the giver reclaim
+//! them.
 
 use super::account::{PowerAccount, PowerDeficit, PowerSource, SourceId};
 use super::messages::{PowerCommand, PowerMessage, TOTAL_PARTS};
@@ -270,6 +271,8 @@
         });
     }
 
+    /// Schedules the return of grants that running requests do not need, and cancels that of the
+    /// others.
     fn schedule_idle_returns(&mut self, now: Instant) {
         let idle_return_at = now + Duration::from_millis(self.settings.grant_idle_timeout_ms);
         for (id, grant) in &mut self.received_grants {
@@ -296,6 +299,8 @@
         commands
     }
 
+    /// Sends an ask once the last one has closed, if power is lacking or grants that answered the
+    /// last one may have been lost.
     fn send_asks(&mut self, now: Instant) -> Vec<PowerCommand> {
         if self.ask.as_ref().is_some_and(|ask| now < ask.closes_at) {
             return Vec::new();
