--- a/examples/capacity_slopes/budget.rs
+++ b/examples/capacity_slopes/budget.rs
@@ -161,7 +161,7 @@
 }
 
 fn holds_per_s() -> f64 {
-    NODES * 1_000.0 / PowerSettings::default().renew_ms as f64
+    NODES * 1_000.0 / PowerSettings::default().renew_after_ms as f64
 }
 
 fn routing_row(costs: &Costs) -> Row {
--- a/src/decision/claims/record.rs
+++ b/src/decision/claims/record.rs
@@ -18,7 +18,8 @@
 /// Hash of an idempotency key within its workspace and service.
 pub type KeyHash = u128;
 
-/// Hash of a call's method, path and body; tells a retry from a key reused for another call.
+/// Hash of a call's method, path and body; distinguishes a retry from a key reused for
+/// another call.
 pub type Fingerprint = u64;
 
 /// Id of a claim, unique over all instances.
@@ -87,8 +88,8 @@
 pub fn encode_record(entries: &[ClaimEntry]) -> Bytes {
     let head = RecordHead { marker: RECORD_MARKER.to_owned(), version: RECORD_VERSION };
     let mut payload = Vec::new();
-    ciborium::into_writer(&head, &mut payload).expect("writing to a Vec cannot fail");
-    ciborium::into_writer(entries, &mut payload).expect("writing to a Vec cannot fail");
+    ciborium::into_writer(&head, &mut payload).expect("writing to a Vec does not fail");
+    ciborium::into_writer(entries, &mut payload).expect("writing to a Vec does not fail");
     payload.into()
 }
 
--- a/src/decision/placement/mod.rs
+++ b/src/decision/placement/mod.rs
@@ -63,7 +63,7 @@
     servers: BTreeMap<ServerId, ServerState>,
     /// Highest fencing number among the orders of this node that servers rejected as outdated.
     max_fenced_number: LogOffset,
-    /// Fencing number of the lease for which orders are pending.
+    /// Fencing number of the held lease, under which the pending orders were sent.
     active_fencing_number: Option<LogOffset>,
 }
 
@@ -88,8 +88,8 @@
             PlacementEvent::Document(document) => self.set_document(document),
             PlacementEvent::LeavingServers(servers) => self.leaving = servers,
             PlacementEvent::LiveNodes(live_nodes) => self.live_nodes = live_nodes.max(1),
-            PlacementEvent::AnswerCompleted { model, computed_tokens, decode_ms } => {
-                self.demand.add(&self.document, &model, computed_tokens, decode_ms, now);
+            PlacementEvent::AnswerCompleted { model, prefilled_tokens, decode_ms } => {
+                self.demand.add(&self.document, &model, prefilled_tokens, decode_ms, now);
             }
             PlacementEvent::Report { server, report, polled_at } => {
                 self.apply_report(&server, report, polled_at);
@@ -138,6 +138,8 @@
         });
     }
 
+    /// Plans orders and polls servers while this node holds the lease; pending orders of an earlier
+    /// lease are dropped.
     fn tick(&mut self, lease: Option<HeldLease>, now: Instant) -> Vec<PlacementCommand> {
         let lease = lease.filter(|lease| lease.fencing_number > self.max_fenced_number);
         let fencing_number = lease.map(|lease| lease.fencing_number);
@@ -154,6 +156,8 @@
         commands
     }
 
+    /// Returns the next orders. There are none until every server has reported or is unreachable,
+    /// since a server without a report counts as out of service.
     fn plan_orders(&mut self, lease: HeldLease, now: Instant) -> Vec<PlacementCommand> {
         let target_servers = self.demand.target_servers(&self.document, self.live_nodes, now);
         let servers = self
@@ -216,8 +220,8 @@
         })
     }
 
-    /// Polls the servers that are due: loading ones first and at each tick, the others once in each
-    /// poll period.
+    /// Polls the servers that are due, loading ones first. A server that is loading or has not
+    /// reported is due at each tick, any other once in each poll period.
     fn poll_due_servers(&mut self, now: Instant) -> Vec<PlacementCommand> {
         let mut due: Vec<(bool, Option<Instant>, &ServerId)> = self
             .servers
--- a/src/decision/power/mod.rs
+++ b/src/decision/power/mod.rs
@@ -77,12 +77,16 @@
     ledger: ShareLedger,
     held_share: Option<HeldShare>,
     pending_append: Option<PendingAppend>,
+    /// When the share is renewed.
     renew_at: Instant,
+    /// Earliest time of an append that resizes the share before its renewal.
     next_adjust_at: Instant,
+    /// Earliest time of the next release of shares of other instances.
     next_release_at: Instant,
     last_attempt: u64,
     live_nodes: Option<u32>,
     max_nodes: u32,
+    /// From when `live_nodes` is used.
     node_count_valid_at: Instant,
     has_sent_initial_ask: bool,
     transfers: Transfers,
@@ -102,7 +106,7 @@
     ) -> Self {
         Self {
             transfers: Transfers::new(instance.clone(), settings, Arc::clone(&account)),
-            ledger: ShareLedger::new(&instance, settings.lease_ms, settings.transit_ms),
+            ledger: ShareLedger::new(&instance, settings.lease_ms, settings.request_transit_ms),
             ended_instances: EndedInstances::new(settings),
             instance,
             address,
@@ -134,7 +138,7 @@
                 self.ended_instances.set_document(&document);
                 commands = self.send_initial_ask(now);
             }
-            PowerEvent::Page { page, from } => self.fold_page(&page, from, now),
+            PowerEvent::Page { page, from_offset } => self.fold_page(&page, from_offset, now),
             PowerEvent::Message { from, message } => {
                 commands = self.receive_message(&from, &message, now)
             }
@@ -226,6 +230,7 @@
         }
     }
 
+    /// Answers an ask from the own share, after returning the received grants that are not needed.
     fn answer_ask(
         &mut self,
         from: &InstanceId,
@@ -241,14 +246,16 @@
         commands
     }
 
-    fn fold_page(&mut self, page: &LogPage, from: LogOffset, now: Instant) {
-        for FoldedRecord { record, is_accepted } in self.ledger.fold_page(page, from, now) {
+    fn fold_page(&mut self, page: &LogPage, from_offset: LogOffset, now: Instant) {
+        for FoldedRecord { record, is_accepted } in self.ledger.fold_page(page, from_offset, now) {
             if record.instance == self.instance {
                 self.apply_own_record(&record, is_accepted);
             }
         }
     }
 
+    /// Applies a record of this instance. Only the pending append extends the share, since the send
+    /// time of other records is unknown; an accepted record of another append can only shrink it.
     fn apply_own_record(&mut self, record: &ShareRecord, is_accepted: bool) {
         let pending = self.pending_append.take_if(|pending| pending.record == *record);
         if !is_accepted {
