--- a/examples/support/fleet.rs
+++ b/examples/support/fleet.rs
@@ -57,7 +57,11 @@
         fleet.apply(RoutingEvent::LiveNodes(NODES));
         for number in 0..size.servers {
             let (id, requested_at) = (server_id(number), fleet.now);
-            fleet.apply(RoutingEvent::Load { server: id, report: load_report(number), requested_at });
+            fleet.apply(RoutingEvent::Load {
+                server: id,
+                report: load_report(number),
+                requested_at,
+            });
         }
         for number in (0..size.prefixes).step_by(LEVELS_PER_REQUEST) {
             for holder in 0..SERVERS_PER_PREFIX {
