--- a/examples/capacity_slopes/routing.rs
+++ b/examples/capacity_slopes/routing.rs
@@ -77,8 +77,11 @@
     let now = fleet.now;
     mean_us(REPEATS, |number| {
         let number = number as usize % SERVERS[0];
-        let event =
-            RoutingEvent::Load { server: server(number), report: report(number), asked_at: now };
+        let event = RoutingEvent::Load {
+            server: server(number),
+            report: report(number),
+            requested_at: now,
+        };
         fleet.state.apply(event, now);
         black_box(fleet.state.view());
     })
--- a/examples/support/fleet.rs
+++ b/examples/support/fleet.rs
@@ -56,8 +56,8 @@
         fleet.apply(RoutingEvent::Document(Arc::new(document(size.servers))));
         fleet.apply(RoutingEvent::LiveNodes(NODES));
         for number in 0..size.servers {
-            let (id, asked_at) = (server(number), fleet.now);
-            fleet.apply(RoutingEvent::Load { server: id, report: report(number), asked_at });
+            let (id, requested_at) = (server(number), fleet.now);
+            fleet.apply(RoutingEvent::Load { server: id, report: report(number), requested_at });
         }
         for number in (0..size.prefixes).step_by(LEVELS) {
             for holder in 0..HOLDERS {
--- a/src/control/server_polls.rs
+++ b/src/control/server_polls.rs
@@ -83,7 +83,7 @@
         let models = report.models.len() + report.loading.len();
         let body_bytes = LOAD_REPORT_BYTES + models * LOADED_MODEL_BYTES;
         self.complete_poll(&server, PollKind::Load, body_bytes);
-        self.routing.apply(RoutingEvent::Load { server, report, asked_at: polled_at }, now);
+        self.routing.apply(RoutingEvent::Load { server, report, requested_at: polled_at }, now);
     }
 
     /// Applies a failed poll for a load report to routing.
--- a/src/control/state.rs
+++ b/src/control/state.rs
@@ -211,7 +211,7 @@
             }
             TrafficReport::Load { server, report, requested_at } => {
                 self.server_polls.planner.postpone_load_poll(&server, now);
-                RoutingEvent::Load { server, report, asked_at: requested_at }
+                RoutingEvent::Load { server, report, requested_at }
             }
             TrafficReport::AttemptFailed { server } => RoutingEvent::ServerFailed { server },
             TrafficReport::AnswerInterrupted { server, incarnation, fingerprint } => {
--- a/src/decision/routing/explain.rs
+++ b/src/decision/routing/explain.rs
@@ -79,7 +79,7 @@
                     failures: state.consecutive_failures,
                     own_requests: info.counters.outstanding_requests(),
                     reported_requests: report.map(|report| report.requests),
-                    reported_ms_ago: report.map(|report| ms_since(report.asked_at, now)),
+                    reported_ms_ago: report.map(|report| ms_since(report.requested_at, now)),
                     models: report
                         .map(|report| report.models.iter().map(|m| m.model.clone()).collect())
                         .unwrap_or_default(),
--- a/src/decision/routing/feedback.rs
+++ b/src/decision/routing/feedback.rs
@@ -21,14 +21,14 @@
         &mut self,
         server: &ServerId,
         report: &LoadReport,
-        asked_at: Instant,
+        requested_at: Instant,
         now: Instant,
     ) {
         let config = Arc::clone(&self.config);
         let mut models_changed = false;
         self.update_server(server, |state| {
             let before = state.last_report.as_ref().map(|report| Arc::clone(&report.models));
-            state.apply_report(report, asked_at, &config, now);
+            state.apply_report(report, requested_at, &config, now);
             let after = state.last_report.as_ref().map(|report| &report.models);
             models_changed = before.as_ref() != after;
         });
--- a/src/decision/routing/load.rs
+++ b/src/decision/routing/load.rs
@@ -56,7 +56,7 @@
 #[derive(Clone, Debug)]
 pub struct ReportedLoad {
     /// When the report was requested.
-    pub asked_at: Instant,
+    pub requested_at: Instant,
     /// Running and waiting requests.
     pub requests: u32,
     /// Waiting requests.
@@ -176,11 +176,12 @@
     pub fn apply_report(
         &mut self,
         report: &LoadReport,
-        asked_at: Instant,
+        requested_at: Instant,
         config: &RoutingConfig,
         now: Instant,
     ) {
-        let is_stale = self.last_report.as_ref().is_some_and(|last| asked_at < last.asked_at);
+        let is_stale =
+            self.last_report.as_ref().is_some_and(|last| requested_at < last.requested_at);
         if is_stale || !self.observe_incarnation(report.incarnation, now) {
             return;
         }
@@ -189,7 +190,7 @@
         self.backoff_until = None;
         let counters = self.info.as_ref().map(|info| &info.counters);
         self.last_report = Some(ReportedLoad {
-            asked_at,
+            requested_at,
             requests: report.running_requests.saturating_add(report.waiting_requests),
             waiting_requests: report.waiting_requests,
             waiting_prompt_tokens: report.waiting_prompt_tokens,
@@ -253,7 +254,7 @@
                 pending_prefill_tokens: own_tokens * (1.0 + effective_other_nodes),
             };
         };
-        let age_s = now.saturating_duration_since(report.asked_at).as_secs_f64();
+        let age_s = now.saturating_duration_since(report.requested_at).as_secs_f64();
         let weight = (-age_s / config.report_decay_time.as_secs_f64()).exp();
         let reported_own_requests = f64::from(report.own_requests);
         let requests_of_others =
--- a/src/decision/routing/messages.rs
+++ b/src/decision/routing/messages.rs
@@ -36,7 +36,7 @@
         /// Load report.
         report: LoadReport,
         /// When the report was requested.
-        asked_at: Instant,
+        requested_at: Instant,
     },
     /// A page of a server's cache events was received.
     CacheEvents {
--- a/src/decision/routing/mod.rs
+++ b/src/decision/routing/mod.rs
@@ -86,8 +86,8 @@
         match event {
             RoutingEvent::Document(document) => self.apply_document(&document, now),
             RoutingEvent::Leaving(servers) => self.apply_leaving(&servers),
-            RoutingEvent::Load { server, report, asked_at } => {
-                self.apply_load(&server, &report, asked_at, now);
+            RoutingEvent::Load { server, report, requested_at } => {
+                self.apply_load(&server, &report, requested_at, now);
             }
             RoutingEvent::CacheEvents { server, page } => self.apply_events(&server, &page, now),
             RoutingEvent::Sent(sent) => self.apply_sent(&sent, now),
--- a/tests/routing/fixture.rs
+++ b/tests/routing/fixture.rs
@@ -141,7 +141,7 @@
     }
 
     pub fn report(&mut self, number: usize, report: LoadReport) {
-        let event = RoutingEvent::Load { server: server(number), report, asked_at: self.now };
+        let event = RoutingEvent::Load { server: server(number), report, requested_at: self.now };
         self.apply(event);
     }
 
--- a/tests/routing/prefix_index.rs
+++ b/tests/routing/prefix_index.rs
@@ -138,7 +138,7 @@
         state.apply(RoutingEvent::Document(document(SERVERS)), now);
         for number in 0..SERVERS {
             let report = idle_report(1);
-            let event = RoutingEvent::Load { server: server(number), report, asked_at: now };
+            let event = RoutingEvent::Load { server: server(number), report, requested_at: now };
             state.apply(event, now);
         }
         for key in keys {
