--- a/src/relay/attempt.rs
+++ b/src/relay/attempt.rs
@@ -58,8 +58,8 @@
 pub struct Answer {
     /// Exchange from which the body can be read.
     pub exchange: PooledExchange,
-    /// Contents of the head.
-    pub facts: AnswerHead,
+    /// Head of the answer, as read by the dialect.
+    pub head: AnswerHead,
     /// The attempt, which counts towards the load of the server.
     pub in_flight: InFlightAttempt,
 }
@@ -83,13 +83,12 @@
         let now = Instant::now();
         let mut fleet = context.fleet();
         fleet.begin_request(&server, attempt, load, now);
-        if let Some(prompt) =
-            request.facts.prompt.as_ref().filter(|prompt| prompt.is_decode_heavy())
+        if let Some(prompt) = request.head.prompt.as_ref().filter(|prompt| prompt.is_decode_heavy())
         {
             fleet.decode_rate.add(prompt.expected_output_tokens(), now);
         }
         if let Some(prompt) = &choice.prompt {
-            let is_announced = request.facts.prompt.as_ref().is_some_and(Prompt::is_worth_storing);
+            let is_announced = request.head.prompt.as_ref().is_some_and(Prompt::is_worth_storing);
             fleet.prefixes.add_cached(&prompt.keys, &server, is_announced, now);
             if prompt.save_to.is_some() {
                 fleet.prefixes.mark_saving(&prompt.keys, now);
@@ -155,16 +154,16 @@
         Err(error) => return handle_failure(context, request, choice, &in_flight, error),
     };
     in_flight.record_contact();
-    let facts = context.ports.dialect.read_answer(exchange.status, &exchange.headers);
-    update_weights(context, request, choice, &facts);
-    if facts.is_not_run {
-        let reason = record_not_run(context, request, choice, exchange.status, &facts);
+    let head = context.ports.dialect.read_answer(exchange.status, &exchange.headers);
+    update_weights(context, request, choice, &head);
+    if head.is_not_run {
+        let reason = record_not_run(context, request, choice, exchange.status, &head);
         log::info!(
             "event=not_run request={} server={} status={} reason={reason} weights={} believed={}",
             request.id,
             choice.server,
             exchange.status.as_u16(),
-            facts.weights.unwrap_or_default(),
+            head.weights.unwrap_or_default(),
             choice.prompt.as_ref().map_or(0, |prompt| prompt.weights)
         );
         return AttemptOutcome::NotRun(reason);
@@ -172,7 +171,7 @@
     let answer_ms = sent_at.elapsed().as_secs_f64() * 1_000.0;
     let succeeded = !exchange.status.is_server_error();
     in_flight.record_outcome(succeeded, answer_ms - choice.expected_ms);
-    if let Some(error) = find_answer_fault(request, choice, exchange.status, &facts) {
+    if let Some(error) = find_answer_fault(request, choice, exchange.status, &head) {
         in_flight.record_outcome(false, 0.0);
         return AttemptOutcome::Unknown(error);
     }
@@ -182,7 +181,7 @@
         context.fleet().prefixes.add_stored(&prompt.keys, Instant::now());
         context.notify_control(RelayControlEvent::PrefixesStored);
     }
-    AttemptOutcome::Answered(Box::new(Answer { exchange, facts, in_flight }))
+    AttemptOutcome::Answered(Box::new(Answer { exchange, head, in_flight }))
 }
 
 fn outgoing_request(
@@ -195,11 +194,11 @@
     let remaining = request.deadline.saturating_duration_since(now);
     let workspace = request.workspace.as_ref();
     let prompt = choice.prompt.as_ref();
-    let facts = ForwardHead {
+    let head = ForwardHead {
         server: choice.server.clone(),
         remaining_ms: u64::try_from(remaining.as_millis()).unwrap_or(u64::MAX).max(1),
         workspace: workspace.map(|workspace| workspace.name.clone()),
-        strips_api_key: request.hides_key,
+        strips_api_key: request.strips_api_key,
         priority: prompt.map(|_| request.priority()),
         weights: prompt.map(|prompt| prompt.weights),
         cache_salt: prompt.map(|prompt| prompt.cache_salt.clone()),
@@ -211,7 +210,7 @@
     *outgoing.method_mut() = request.method.clone();
     *outgoing.uri_mut() = request.uri.clone();
     *outgoing.headers_mut() = request.headers.clone();
-    context.ports.dialect.write_request(outgoing.headers_mut(), &facts);
+    context.ports.dialect.write_request(outgoing.headers_mut(), &head);
     outgoing
 }
 
@@ -293,10 +292,10 @@
     context: &RelayContext,
     request: &RelayedRequest,
     choice: &Choice,
-    facts: &AnswerHead,
+    head: &AnswerHead,
 ) {
-    let Some(model) = request.facts.prompt.as_ref().map(|prompt| &prompt.model) else { return };
-    let Some(revision) = facts.weights.filter(|_| !is_misdirected(choice, facts)) else { return };
+    let Some(model) = request.head.prompt.as_ref().map(|prompt| &prompt.model) else { return };
+    let Some(revision) = head.weights.filter(|_| !is_misdirected(choice, head)) else { return };
     let expected = choice.prompt.as_ref().map(|prompt| prompt.weights);
     if expected != Some(revision) {
         log::info!(
@@ -309,8 +308,8 @@
 }
 
 /// Whether another server listens at the address.
-fn is_misdirected(choice: &Choice, facts: &AnswerHead) -> bool {
-    facts.server.as_ref().is_some_and(|server| *server != choice.server)
+fn is_misdirected(choice: &Choice, head: &AnswerHead) -> bool {
+    head.server.as_ref().is_some_and(|server| *server != choice.server)
 }
 
 /// Records why the server did not run the request, so that the next choice avoids it.
@@ -319,18 +318,18 @@
     request: &RelayedRequest,
     choice: &Choice,
     status: StatusCode,
-    facts: &AnswerHead,
+    head: &AnswerHead,
 ) -> NotRunReason {
     let now = Instant::now();
-    if is_misdirected(choice, facts) {
+    if is_misdirected(choice, head) {
         suspend_server(context, choice);
         return NotRunReason::Misdirected;
     }
     if let Some(prompt) = &choice.prompt
         && status == StatusCode::MISDIRECTED_REQUEST
     {
-        if facts.weights.is_none() {
-            let model = request.facts.prompt.as_ref().map(|prompt| prompt.model.clone());
+        if head.weights.is_none() {
+            let model = request.head.prompt.as_ref().map(|prompt| prompt.model.clone());
             model.iter().for_each(|model| {
                 context.fleet().record_weights_mismatch(&choice.server, model, prompt.weights);
             });
@@ -348,14 +347,14 @@
     request: &RelayedRequest,
     choice: &Choice,
     status: StatusCode,
-    facts: &AnswerHead,
+    head: &AnswerHead,
 ) -> Option<PeerError> {
     let promises_no_run = matches!(status.as_u16(), 408 | 421 | 429 | 503);
-    let fault = if facts.request_id.as_ref() != Some(&request.id) {
+    let fault = if head.request_id.as_ref() != Some(&request.id) {
         "the answer belongs to another request"
-    } else if status.is_success() && !facts.is_signed {
+    } else if status.is_success() && !head.is_signed {
         "the answer is not signed"
-    } else if facts.has_content_encoding {
+    } else if head.has_content_encoding {
         "the answer is encoded"
     } else if promises_no_run || status.is_informational() {
         "the status contradicts that the request was run"
--- a/src/relay/buffered_answer.rs
+++ b/src/relay/buffered_answer.rs
@@ -51,18 +51,18 @@
     );
     context.metrics.observe_first_answer(&request.route.name, request.arrived_at);
     stream::count_outcome(context, request, outcome);
-    let Answer { exchange, facts, in_flight } = received;
-    return_to_pool(context, exchange, &facts);
+    let Answer { exchange, head, in_flight } = received;
+    return_to_pool(context, exchange, &head);
     drop(in_flight);
     Ok(reply)
 }
 
 /// Returns the connection of a complete answer to the pool, unless the server closes it.
-pub fn return_to_pool(context: &RelayContext, exchange: PooledExchange, facts: &AnswerHead) {
-    if facts.closes_connection {
+pub fn return_to_pool(context: &RelayContext, exchange: PooledExchange, head: &AnswerHead) {
+    if head.closes_connection {
         return;
     }
-    let idle = match facts.keep_alive_s {
+    let idle = match head.keep_alive_s {
         Some(seconds) => Duration::from_secs(seconds).saturating_sub(IDLE_MARGIN),
         None => DEFAULT_IDLE_PERIOD,
     };
--- a/src/relay/context.rs
+++ b/src/relay/context.rs
@@ -32,7 +32,7 @@
     pub ports: RelayPorts,
     /// Configuration in force, `None` until one is known.
     pub configuration: ArcSwapOption<Configuration>,
-    /// Limits of the callers' listener, replaced with each configuration.
+    /// Limits of the callers' listener, replaced by each configuration that sets limits.
     pub caller_limits: Arc<ArcSwap<ListenerLimits>>,
     /// Connections to servers and to the record store.
     pub pool: Arc<ConnectionPool>,
--- a/src/relay/control/crashes.rs
+++ b/src/relay/control/crashes.rs
@@ -14,13 +14,13 @@
 use std::time::{Duration, Instant};
 
 /// Maximum connection attempts that check whether a server crashed.
-const MAX_CHECKS: u32 = 3;
+const MAX_CRASH_CHECKS: u32 = 3;
 
 /// Time between two connection attempts.
-const CHECK_PERIOD: Duration = Duration::from_millis(60);
+const CRASH_CHECK_PERIOD: Duration = Duration::from_millis(60);
 
 /// Timeout of one connection attempt.
-const CHECK_TIMEOUT: Duration = Duration::from_millis(300);
+const CRASH_CHECK_TIMEOUT: Duration = Duration::from_millis(300);
 
 impl ControlState {
     /// Checks whether a server crashed that cut the connection during a request.
@@ -61,8 +61,8 @@
 /// Sends an event if the server refuses connections: it crashed, since nothing listens at its
 /// address.
 async fn confirm_crash(context: Arc<RelayContext>, strike: Strike, address: SocketAddr) {
-    for _ in 0..MAX_CHECKS {
-        let deadline = Instant::now() + CHECK_TIMEOUT;
+    for _ in 0..MAX_CRASH_CHECKS {
+        let deadline = Instant::now() + CRASH_CHECK_TIMEOUT;
         let opened =
             crate::adapters::deadline::timeout_at(deadline, TcpStream::connect(address)).await;
         match opened {
@@ -71,7 +71,7 @@
                 return;
             }
             Ok(Ok(_)) => return,
-            Ok(Err(_)) | Err(_) => Timer::after(CHECK_PERIOD).await,
+            Ok(Err(_)) | Err(_) => Timer::after(CRASH_CHECK_PERIOD).await,
         };
     }
 }
--- a/src/relay/control/kv_store.rs
+++ b/src/relay/control/kv_store.rs
@@ -24,7 +24,7 @@
     context: Arc<RelayContext>,
     configured_address: Rc<Cell<Option<SocketAddr>>>,
 ) {
-    let mut known_run: Option<(SocketAddr, u64)> = None;
+    let mut known_incarnation: Option<(SocketAddr, u64)> = None;
     let mut since = 0;
     let mut is_answering = false;
     loop {
@@ -37,13 +37,15 @@
         match context.ports.engines.poll_kv_store(address, since, deadline).await {
             Ok(state) => {
                 since = state.next_event;
-                let run = state.incarnation.map(|run| (address, run));
-                let is_emptied = known_run.is_some() && run.is_some() && known_run != run;
+                let incarnation = state.incarnation.map(|incarnation| (address, incarnation));
+                let is_emptied = known_incarnation.is_some()
+                    && incarnation.is_some()
+                    && known_incarnation != incarnation;
                 if is_emptied || !is_answering {
                     is_answering = true;
                     send_state(&context, Some(address), is_emptied).await;
                 }
-                known_run = run.or(known_run);
+                known_incarnation = incarnation.or(known_incarnation);
                 Timer::at(polled_at + POLL_PERIOD).await;
             }
             Err(error) => {
--- a/src/relay/control/mod.rs
+++ b/src/relay/control/mod.rs
@@ -10,7 +10,7 @@
 mod rollout;
 mod state;
 
-pub use state::{ControlParts, run_control};
+pub use state::{ControlDependencies, run_control};
 
 use crate::decision::membership::MemberRecord;
 use crate::decision::poison::{Fingerprint, Strike};
--- a/src/relay/control/records.rs
+++ b/src/relay/control/records.rs
@@ -14,7 +14,8 @@
 use std::time::Instant;
 use strum::Display;
 
-/// Milliseconds added to the configured timeout of a request head.
+/// Milliseconds beyond the longer of the configured idle and head timeouts for which a connection
+/// waits for a request head.
 const IDLE_MARGIN_MS: u64 = 1_000;
 
 /// Where a record came from.
--- a/src/relay/control/rollout/lease.rs
+++ b/src/relay/control/rollout/lease.rs
@@ -42,7 +42,7 @@
     }
 
     /// Returns how many nodes try before this one: the last coordinator is first, the others follow
-    /// in an order that depends on the target weights.
+    /// in an order that depends on the target weights, so that it differs between rollouts.
     fn candidate_rank(&self) -> u32 {
         if self.rollout.last_coordinator.as_ref() == Some(&self.rollout.instance) {
             return 0;
--- a/src/relay/control/state.rs
+++ b/src/relay/control/state.rs
@@ -20,17 +20,17 @@
 use std::sync::atomic::Ordering;
 use std::time::{Duration, Instant};
 
-/// Period of periodic work.
+/// Period of ticks, which do the periodic work.
 const TICK_PERIOD: Duration = Duration::from_millis(100);
 
-/// Period on a node that forwards the loads of other nodes.
+/// Period of ticks on a node that forwards the loads of other nodes.
 const FORWARDING_TICK_PERIOD: Duration = Duration::from_millis(50);
 
-/// Period while a rollout is under way.
+/// Period of ticks while a rollout is needed or under way.
 const ROLLOUT_TICK_PERIOD: Duration = Duration::from_millis(25);
 
 /// Arguments of [`run_control`].
-pub struct ControlParts {
+pub struct ControlDependencies {
     /// State shared with the traffic thread.
     pub context: Arc<RelayContext>,
     /// Id of this instance.
@@ -61,9 +61,13 @@
 }
 
 /// Runs the control thread: starts its tasks and handles events.
-pub async fn run_control(executor: Weak<LocalExecutor<'static>>, parts: ControlParts) {
+pub async fn run_control(
+    executor: Weak<LocalExecutor<'static>>,
+    dependencies: ControlDependencies,
+) {
     let now = Instant::now();
-    let ControlParts { context, instance, events, partners: listener, partner_address } = parts;
+    let ControlDependencies { context, instance, events, partners: listener, partner_address } =
+        dependencies;
     let partners = Partners::new(&context, instance.clone(), partner_address, now);
     let identity: Rc<RefCell<Identity>> = partners.identity();
     let kv_store_address = Rc::new(Cell::new(None));
--- a/src/relay/exchange.rs
+++ b/src/relay/exchange.rs
@@ -86,9 +86,9 @@
 /// Handles a request and returns the answer for the caller.
 pub async fn handle(context: Arc<RelayContext>, request: Request<Incoming>) -> Reply {
     let arrived_at = Instant::now();
-    let facts = context.ports.dialect.read_request(request.headers());
-    let id = facts.id.clone();
-    let received = receive(&context, request, facts, arrived_at).await;
+    let head = context.ports.dialect.read_request(request.headers());
+    let id = head.id.clone();
+    let received = receive(&context, request, head, arrived_at).await;
     let request = match received {
         Ok(request) => Arc::new(request),
         Err(refusal) => {
@@ -277,7 +277,7 @@
 
 fn log_choice(request: &RelayedRequest, choice: &Choice) {
     let prompt = choice.prompt.as_ref();
-    let declared = request.facts.prompt.as_ref();
+    let declared = request.head.prompt.as_ref();
     let (runner_up, runner_up_ms) = match &choice.runner_up {
         Some((server, cost_ms)) => (server.as_str(), *cost_ms),
         None => ("none", 0.0),
--- a/src/relay/node.rs
+++ b/src/relay/node.rs
@@ -1,6 +1,6 @@
 //! Starts and stops a relay node, which runs on threads of its own.
 
-use super::control::{self, ControlParts, RelayControlEvent};
+use super::control::{self, ControlDependencies, RelayControlEvent};
 use super::exchange;
 use super::metrics::RelayMetrics;
 use super::{RelayContext, RelayPorts, RelaySettings};
@@ -38,7 +38,7 @@
 const MONITORING_LIMITS: ListenerLimits =
     ListenerLimits { head_bytes: 8 * 1024, head_timeout_ms: 60_000 };
 
-/// Period at which a stopping node checks whether its connections have ended.
+/// Period at which a draining node checks whether its connections have ended.
 const DRAIN_POLL_PERIOD: Duration = Duration::from_millis(50);
 
 /// A running relay node.
@@ -49,9 +49,9 @@
     partner_address: SocketAddr,
     /// Closing it ends the listener, and each caller connection after its current request. They
     /// hold the receivers, so the number of receivers is that of the open connections.
-    drain: Sender<Infallible>,
+    drain_sender: Sender<Infallible>,
     /// Closing it stops the threads.
-    stop: Sender<Infallible>,
+    stop_sender: Sender<Infallible>,
     threads: Vec<JoinHandle<()>>,
     executor: Arc<Executor<'static>>,
 }
@@ -80,9 +80,9 @@
         let instance = new_instance_id(&settings);
         let (control_events, events) = async_channel::bounded(MAX_QUEUED_EVENTS);
         let context = Arc::new(new_context(settings, metrics, ports, pool, control_events));
-        let (drain, draining) = async_channel::bounded(1);
-        let (stop, stopped) = async_channel::bounded(1);
-        let control_parts = ControlParts {
+        let (drain_sender, drain_signal) = async_channel::bounded(1);
+        let (stop_sender, stop_signal) = async_channel::bounded(1);
+        let control_dependencies = ControlDependencies {
             context: Arc::clone(&context),
             instance: instance.clone(),
             events,
@@ -91,13 +91,13 @@
         };
         let control_thread = spawn_control(
             String::from("control"),
-            move |executor| control::run_control(executor, control_parts),
-            stopped.clone(),
+            move |executor| control::run_control(executor, control_dependencies),
+            stop_signal.clone(),
         )?;
-        serve_callers(&executor, &context, callers, draining);
-        serve_monitoring(&executor, &context, readiness, metrics_listener, stopped.clone());
+        serve_callers(&executor, &context, callers, drain_signal);
+        serve_monitoring(&executor, &context, readiness, metrics_listener, stop_signal.clone());
         let traffic_thread =
-            spawn_traffic(String::from("traffic"), Arc::clone(&executor), stopped)?;
+            spawn_traffic(String::from("traffic"), Arc::clone(&executor), stop_signal)?;
         log::info!(
             "event=started instance={instance} version={} callers={caller_address} \
              partners={partner_address}",
@@ -108,8 +108,8 @@
             caller_address,
             readiness_address,
             partner_address,
-            drain,
-            stop,
+            drain_sender,
+            stop_sender,
             threads: vec![control_thread, traffic_thread],
             executor,
         })
@@ -139,18 +139,18 @@
         self.context.is_stopping.store(true, Ordering::Release);
         self.context.notify_control(RelayControlEvent::NodeStopping);
         thread::sleep(Duration::from_millis(limits.accept_ms));
-        self.drain.close();
+        self.drain_sender.close();
         let deadline = started_at + Duration::from_millis(limits.limit_ms);
-        while self.drain.receiver_count() > 0 && Instant::now() < deadline {
+        while self.drain_sender.receiver_count() > 0 && Instant::now() < deadline {
             thread::sleep(DRAIN_POLL_PERIOD);
         }
-        log::info!("event=stopped cut={}", self.drain.receiver_count());
+        log::info!("event=stopped cut={}", self.drain_sender.receiver_count());
         self.kill();
     }
 
     /// Stops at once and closes all connections.
     pub fn kill(self) {
-        self.stop.close();
+        self.stop_sender.close();
         let Self { threads, executor, .. } = self;
         threads::join(threads);
         drop(executor);
@@ -190,13 +190,14 @@
     executor: &Arc<Executor<'static>>,
     context: &Arc<RelayContext>,
     listener: TcpListener,
-    draining: Receiver<Infallible>,
+    drain_signal: Receiver<Infallible>,
 ) {
     let shared = Arc::clone(context);
     let handler: Handler =
         Arc::new(move |request| Box::pin(exchange::handle(Arc::clone(&shared), request)));
     let limits = Arc::clone(&context.caller_limits);
-    let server = http_server::serve(listener, Arc::downgrade(executor), handler, limits, draining);
+    let server =
+        http_server::serve(listener, Arc::downgrade(executor), handler, limits, drain_signal);
     executor.spawn(server).detach();
 }
 
@@ -205,7 +206,7 @@
     context: &Arc<RelayContext>,
     readiness: TcpListener,
     metrics: TcpListener,
-    stopped: Receiver<Infallible>,
+    stop_signal: Receiver<Infallible>,
 ) {
     let limits = Arc::new(ArcSwap::from_pointee(MONITORING_LIMITS));
     let shared = Arc::clone(context);
@@ -219,7 +220,7 @@
         weak.clone(),
         answer_readiness,
         Arc::clone(&limits),
-        stopped.clone(),
+        stop_signal.clone(),
     );
     executor.spawn(server).detach();
     let mut registry = Registry::with_prefix("coriandertide");
@@ -229,7 +230,7 @@
         let reply = metrics_reply(&registry, &path, &request);
         Box::pin(async move { reply })
     });
-    executor.spawn(http_server::serve(metrics, weak, answer_metrics, limits, stopped)).detach();
+    executor.spawn(http_server::serve(metrics, weak, answer_metrics, limits, stop_signal)).detach();
 }
 
 fn readiness_reply(context: &RelayContext, request: &Request<Incoming>) -> Reply {
--- a/src/relay/refusal.rs
+++ b/src/relay/refusal.rs
@@ -37,7 +37,7 @@
     BodyTooLarge,
     /// The body did not arrive completely.
     BodyIncomplete,
-    /// The request is suspected of crashing servers.
+    /// Servers crashed while they ran the request, often enough to refuse it.
     Poison,
     /// No server can accept the request.
     Unavailable(UnavailableReason),
--- a/src/relay/request.rs
+++ b/src/relay/request.rs
@@ -43,10 +43,10 @@
     pub service: ServiceId,
     /// Workspace of the caller, `None` if it is anonymous.
     pub workspace: Option<Arc<Workspace>>,
-    /// Whether the caller's API key must not reach the server.
-    pub hides_key: bool,
-    /// Contents of the request head.
-    pub facts: RequestHead,
+    /// Whether the caller's API key is removed before the request is sent to a server.
+    pub strips_api_key: bool,
+    /// Head of the request, as read by the dialect.
+    pub head: RequestHead,
     /// Method.
     pub method: Method,
     /// Path and query.
@@ -88,7 +88,7 @@
         let isolated = self.workspace.as_ref().filter(|workspace| workspace.is_isolated);
         ServerQuery {
             service: &self.service,
-            prompt: self.facts.prompt.as_ref(),
+            prompt: self.head.prompt.as_ref(),
             isolated_workspace: isolated.map(|workspace| workspace.name.as_str()),
             priority: self.priority(),
             tried,
@@ -105,7 +105,7 @@
 pub async fn receive(
     context: &RelayContext,
     request: Request<Incoming>,
-    facts: RequestHead,
+    head: RequestHead,
     arrived_at: Instant,
 ) -> Result<RelayedRequest, Refusal> {
     let configuration = context.configuration.load_full();
@@ -114,13 +114,13 @@
     else {
         return Err(Refusal::unconfigured(arrived_at));
     };
-    let (route, workspace) = find_route(&configuration, &request, &facts)?;
-    let id = facts.id.clone().ok_or(Refusal::new(RefusalReason::NoRequestId))?;
+    let (route, workspace) = find_route(&configuration, &request, &head)?;
+    let id = head.id.clone().ok_or(Refusal::new(RefusalReason::NoRequestId))?;
     let service = route
         .service(xxh3_64(id.as_bytes()))
         .cloned()
         .ok_or(Refusal::new(RefusalReason::NoRoute))?;
-    let timeout_ms = facts.timeout_ms.unwrap_or(route.timeout_ms).min(route.timeout_ms);
+    let timeout_ms = head.timeout_ms.unwrap_or(route.timeout_ms).min(route.timeout_ms);
     let deadline = arrived_at + Duration::from_millis(timeout_ms);
     let max_bytes = configuration.limits.map_or(DEFAULT_MAX_BODY_BYTES, |limits| limits.body_bytes);
     let (parts, body) = request.into_parts();
@@ -132,9 +132,9 @@
         id,
         route,
         service,
-        hides_key: configuration.has_workspaces(),
+        strips_api_key: configuration.has_workspaces(),
         workspace,
-        facts,
+        head,
         method: parts.method,
         uri,
         headers: end_to_end_headers(parts.headers),
@@ -150,14 +150,14 @@
 fn find_route(
     configuration: &Configuration,
     request: &Request<Incoming>,
-    facts: &RequestHead,
+    head: &RequestHead,
 ) -> Result<RouteAndWorkspace, Refusal> {
     let host = request.headers().get(header::HOST).and_then(|host| host.to_str().ok());
     let host = host.or(request.uri().host()).unwrap_or_default();
     let route = configuration
         .route(host, request.uri().path())
         .ok_or(Refusal::new(RefusalReason::NoRoute))?;
-    match configuration.caller(route, facts.api_key.as_deref()) {
+    match configuration.caller(route, head.api_key.as_deref()) {
         Caller::Anonymous => Ok((Arc::clone(route), None)),
         Caller::Workspace(workspace) => Ok((Arc::clone(route), Some(workspace))),
         Caller::Unknown => Err(Refusal::new(RefusalReason::UnknownKey)),
--- a/src/relay/stream.rs
+++ b/src/relay/stream.rs
@@ -160,8 +160,8 @@
     /// Ends a complete stream; returns the data after the last whole event, if any.
     fn finish(&mut self) -> Option<Bytes> {
         self.is_ended = true;
-        if let Some(Answer { exchange, facts, in_flight }) = self.answer.take() {
-            return_to_pool(&self.context, exchange, &facts);
+        if let Some(Answer { exchange, head, in_flight }) = self.answer.take() {
+            return_to_pool(&self.context, exchange, &head);
             self.log_outcome("complete", &in_flight.server);
         }
         let rest = self.splitter.as_mut().map(EventSplitter::take_partial);
