--- a/src/adapters/model_engine.rs
+++ b/src/adapters/model_engine.rs
@@ -232,7 +232,8 @@
         match self.events.next().await {
             Some(Ok(event)) => Ok(event),
             Some(Err(error)) => Err(self.error(Step::ReadBody, anyhow::anyhow!("{error}"))),
-            None => Err(self.error(Step::ReadBody, anyhow::anyhow!("the stream was cut off"))),
+            None => Err(self
+                .error(Step::ReadBody, anyhow::anyhow!("the stream ended before its last event"))),
         }
     }
 
--- a/src/admin/read.rs
+++ b/src/admin/read.rs
@@ -68,7 +68,7 @@
         instance: context.traffic.instance.clone(),
         availability_zone: context.traffic.settings.availability_zone.clone(),
         version: SmolStr::new_static(env!("CARGO_PKG_VERSION")),
-        draining: context.traffic.draining.load(Ordering::Acquire),
+        draining: context.traffic.is_draining.load(Ordering::Acquire),
         configuration_offset: configuration.announcement.offset,
         accepted_revision: configuration.state.as_ref().map_or(0, |state| state.revision),
         in_force: configuration.announcement.in_force,
--- a/src/control/context.rs
+++ b/src/control/context.rs
@@ -31,7 +31,7 @@
     pub instance_list: Arc<dyn InstanceList>,
     /// Model engines.
     pub engines: Arc<dyn ModelEngine>,
-    /// External store of KV cache, none if the site has none.
+    /// External store of KV cache, `None` if the site has none.
     pub kv_store: Option<Arc<dyn KvStore>>,
     /// Metrics.
     pub metrics: Metrics,
--- a/src/control/links.rs
+++ b/src/control/links.rs
@@ -21,8 +21,8 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// Capacity of a link's queue of encoded messages.
-const LINK_QUEUE_MESSAGES: usize = 64;
+/// Maximum messages that wait to be sent over a link.
+const MAX_QUEUED_MESSAGES: usize = 64;
 
 /// Burst of the byte budget, in seconds of its rate.
 const BURST_S: f64 = 2.0;
@@ -299,7 +299,7 @@
     pub(super) async fn run(&self, context: &ControlContext, link: Link, dialed: bool) {
         let number = self.next_number();
         let peer = link.peer().clone();
-        let (outgoing, outgoing_queue) = async_channel::bounded(LINK_QUEUE_MESSAGES);
+        let (outgoing, outgoing_queue) = async_channel::bounded(MAX_QUEUED_MESSAGES);
         let (incoming, incoming_queue) = async_channel::bounded(1);
         let opened = OpenedLink { number, peer, dialed, outgoing };
         context.send(ControlEvent::Link(LinkEvent::Opened(opened))).await;
--- a/src/control/partners.rs
+++ b/src/control/partners.rs
@@ -25,7 +25,7 @@
     pub(super) log_read_failed: bool,
     /// Latest announcement of each partner.
     pub(super) announcements: BTreeMap<InstanceId, ConfigurationAnnouncement>,
-    /// Earliest time of the next request, none before the first.
+    /// Earliest time of the next request, `None` before the first.
     next_request_at: Option<Instant>,
 }
 
--- a/src/control/poison.rs
+++ b/src/control/poison.rs
@@ -60,7 +60,7 @@
     context.send(ControlEvent::CrashChecked { strike, crashed }).await;
 }
 
-/// Whether the server no longer runs `incarnation`, none if `report` does not show it: an
+/// Whether the server no longer runs `incarnation`, `None` if `report` does not show it: an
 /// unreachable server may only be partitioned from this node.
 fn has_crashed(report: &PeerResult<LoadReport>, incarnation: Incarnation) -> Option<bool> {
     match report {
--- a/src/control/snapshot.rs
+++ b/src/control/snapshot.rs
@@ -12,7 +12,7 @@
 /// Immutable snapshot of the control state.
 #[derive(Clone, Debug, Default)]
 pub struct Snapshot {
-    /// Document in force, none before the first one is known.
+    /// Document in force, `None` before the first one is known.
     pub document: Option<Arc<Document>>,
     /// Workspaces by the hashes of their API keys.
     pub api_keys: Arc<ApiKeyIndex>,
--- a/src/control/state.rs
+++ b/src/control/state.rs
@@ -58,7 +58,7 @@
     pub(super) is_stopping: bool,
     /// Schedule of the configuration snapshots that the holder of their lease appends.
     pub(super) snapshot_schedule: SnapshotSchedule,
-    /// When the administration view is updated next, none before the first update.
+    /// When the administration view is updated next, `None` before the first update.
     pub(super) next_admin_publish_at: Option<Instant>,
     /// Latest published snapshot.
     snapshot: Arc<ArcSwap<Snapshot>>,
--- a/src/daemon/node.rs
+++ b/src/daemon/node.rs
@@ -27,10 +27,10 @@
 use std::thread::{self, JoinHandle};
 use std::time::{Duration, Instant};
 
-/// Maximum number of events queued for the control thread.
-const CONTROL_QUEUE_CAPACITY: usize = 4_096;
+/// Maximum events that wait for the control thread.
+const MAX_QUEUED_EVENTS: usize = 4_096;
 
-/// Period at which a draining node polls whether its requests have ended.
+/// Period at which a draining node checks whether its connections have ended.
 const DRAIN_POLL_PERIOD: Duration = Duration::from_millis(5);
 
 /// Time given to a stopping node to notify its partners and release its leases and power.
@@ -43,9 +43,13 @@
     admin_address: SocketAddr,
     partner_address: SocketAddr,
     traffic: Arc<TrafficContext>,
+    /// Closing it ends the listeners, and each connection after its current request. They hold the
+    /// receivers, so the number of receivers is that of the open connections.
     drain_sender: Sender<Infallible>,
+    /// Closing it stops the threads.
     stop_sender: Sender<Infallible>,
     threads: Vec<JoinHandle<()>>,
+    /// Queue of functions to run on the control thread.
     task_sender: Sender<ControlTask>,
     executor: Arc<Executor<'static>>,
 }
@@ -74,7 +78,7 @@
         let partner_address = listeners.partners.local_addr()?;
         let settings = Arc::new(settings);
         let snapshot = Arc::new(ArcSwap::from_pointee(Snapshot::default()));
-        let (event_sender, event_receiver) = async_channel::bounded(CONTROL_QUEUE_CAPACITY);
+        let (event_sender, event_receiver) = async_channel::bounded(MAX_QUEUED_EVENTS);
         let (stop_sender, stop_signal) = async_channel::bounded(1);
         let (drain_sender, drain_signal) = async_channel::bounded(1);
         let (task_sender, task_receiver) = async_channel::unbounded();
@@ -161,7 +165,7 @@
     pub fn drain(self) {
         let limits = self.traffic.settings.limits;
         log::info!("event=drain_started instance={}", self.instance);
-        self.traffic.draining.store(true, Ordering::Release);
+        self.traffic.is_draining.store(true, Ordering::Release);
         thread::sleep(Duration::from_millis(limits.drain_grace_ms));
         self.drain_sender.close();
         let deadline = Instant::now() + Duration::from_millis(limits.drain_timeout_ms);
--- a/src/links/connection.rs
+++ b/src/links/connection.rs
@@ -45,7 +45,7 @@
 /// Message received from a peer.
 #[derive(Clone, Debug)]
 pub struct ReceivedMessage {
-    /// Message, none if this build does not know its kind.
+    /// Message, `None` if this build does not know its kind.
     pub message: Option<PartnerMessage>,
     /// Size of the message, with the maximum overhead of its frame.
     pub bytes: usize,
@@ -177,7 +177,7 @@
     }
 }
 
-/// Decodes a received message; returns none if the peer closed the link gracefully.
+/// Decodes a received message; returns `None` if the peer closed the link gracefully.
 fn read_message(
     received: Option<Result<Message, Error>>,
 ) -> anyhow::Result<Option<ReceivedMessage>> {
--- a/src/links/handshake.rs
+++ b/src/links/handshake.rs
@@ -123,7 +123,7 @@
     message.extend(challenge.protocol.to_le_bytes());
     message.extend(challenge.nonce.to_le_bytes());
     message.extend(nonce.to_le_bytes());
-    ciborium::into_writer(member, &mut message).expect("writing to a Vec does not fail");
+    ciborium::into_writer(member, &mut message).expect("writing to a Vec cannot fail");
     hmac_sha256(key.as_bytes(), &message)
 }
 
--- a/src/links/message.rs
+++ b/src/links/message.rs
@@ -66,9 +66,9 @@
 pub struct TopicDigest {
     /// Topic.
     pub topic: RecordTopic,
-    /// Offset below which the latest record of each key is known, none before the first listing.
+    /// Offset below which the latest record of each key is known, `None` before the first listing.
     pub known_below: Option<LogOffset>,
-    /// Milliseconds since the store was last confirmed to hold no newer records, none if it never
+    /// Milliseconds since the store was last confirmed to hold no newer records, `None` if it never
     /// was.
     #[serde(default)]
     pub age_ms: Option<u64>,
@@ -106,7 +106,7 @@
     /// Encodes the message as CBOR.
     pub fn encode(&self) -> Bytes {
         let mut bytes = Vec::new();
-        ciborium::into_writer(self, &mut bytes).expect("writing to a Vec does not fail");
+        ciborium::into_writer(self, &mut bytes).expect("writing to a Vec cannot fail");
         bytes.into()
     }
 
--- a/src/traffic/admission_gate.rs
+++ b/src/traffic/admission_gate.rs
@@ -22,7 +22,7 @@
 struct GateState {
     admission: Admission,
     limit_inputs: LimitInputs,
-    /// Channel to each waiter; receives the refusal, none if the request starts.
+    /// Channel to each waiter; receives the refusal, `None` if the request starts.
     waiters: HashMap<AdmissionId, Sender<Option<Refusal>>>,
     next_id: AdmissionId,
 }
@@ -157,7 +157,7 @@
 /// Decision that a waiting request awaits.
 struct PendingDecision {
     expires_at: Instant,
-    /// Receives the refusal, none if the request starts.
+    /// Receives the refusal, `None` if the request starts.
     decision: Receiver<Option<Refusal>>,
 }
 
--- a/src/traffic/attempt.rs
+++ b/src/traffic/attempt.rs
@@ -99,7 +99,7 @@
         self.power.release();
     }
 
-    /// Returns the timing of an answer that ended at `ended_at`, none without a first token.
+    /// Returns the timing of an answer that ended at `ended_at`, `None` without a first token.
     pub fn timing(&self, ended_at: Instant) -> Option<AnswerTiming> {
         let first_token_at = self.first_token_at?;
         let expectation = self.decision.expectation;
--- a/src/traffic/context.rs
+++ b/src/traffic/context.rs
@@ -78,7 +78,7 @@
     /// Gate for requests suspected of crashing servers.
     pub suspects: SuspectGate,
     /// Whether the node drains; it then reports that it is not ready.
-    pub draining: AtomicBool,
+    pub is_draining: AtomicBool,
     executor: Weak<Executor<'static>>,
     control_events: Sender<ControlEvent>,
     retry_budget: Mutex<RetryBudget>,
@@ -103,7 +103,7 @@
             shed_signals: shared.shed_signals,
             admission: Arc::default(),
             suspects: SuspectGate::default(),
-            draining: AtomicBool::new(false),
+            is_draining: AtomicBool::new(false),
             executor,
             control_events,
             retry_budget: Mutex::new(RetryBudget::new(std::time::Instant::now())),
--- a/src/traffic/generation.rs
+++ b/src/traffic/generation.rs
@@ -254,7 +254,7 @@
         }
     }
 
-    /// Returns the item to relay for a frame, none for a frame relayed before; a gap is an error.
+    /// Returns the item to relay for a frame, `None` for a frame relayed before; a gap is an error.
     fn accept_frame(&mut self, frame: EngineFrame) -> Result<Option<AnswerItem>, PeerError> {
         let position = match &frame {
             EngineFrame::Piece { number, .. } => FramePosition::Piece(*number),
@@ -266,7 +266,7 @@
             FrameAction::Refuse(fault) => return Err(self.attempt_error(fault.into())),
         }
         if self.frame_order.next_frame() == 1 {
-            self.context.count_first_token(&self.request, Instant::now());
+            self.context.observe_first_token(&self.request, Instant::now());
         }
         if let Some(attempt) = &mut self.attempt {
             attempt.record_frame();
--- a/src/traffic/generation_request.rs
+++ b/src/traffic/generation_request.rs
@@ -58,7 +58,7 @@
     /// Maximum tokens to generate, a default if the caller sets no maximum.
     pub max_tokens: u32,
     /// Whether the caller requested a stream.
-    pub stream: bool,
+    pub is_streamed: bool,
     /// Whether the caller requested usage at the end of the stream.
     pub include_usage: bool,
     /// Priority.
@@ -143,7 +143,7 @@
             fingerprint,
             levels,
             max_tokens: max_tokens.unwrap_or(DEFAULT_MAX_TOKENS),
-            stream: fields.stream,
+            is_streamed: fields.stream,
             include_usage: fields.stream_options.unwrap_or_default().include_usage,
             priority,
             deadline: raw.deadline,
--- a/src/traffic/handlers/health.rs
+++ b/src/traffic/handlers/health.rs
@@ -14,7 +14,7 @@
 /// Returns the reply to a readiness probe: success while the node has a document and does not
 /// drain.
 pub fn ready(context: &TrafficContext) -> Reply {
-    if context.draining.load(Ordering::Acquire) {
+    if context.is_draining.load(Ordering::Acquire) {
         return text_reply(StatusCode::SERVICE_UNAVAILABLE, "draining\n");
     }
     if context.snapshot.load().document.is_none() {
--- a/src/traffic/handlers/service_call.rs
+++ b/src/traffic/handlers/service_call.rs
@@ -22,7 +22,7 @@
 /// Response headers that are forwarded to the caller.
 const FORWARDED_RESPONSE_HEADERS: [&str; 3] = ["content-type", "etag", "location"];
 
-/// Delay after which a caller may retry when no server could be reached.
+/// Delay after which a caller may retry a call that no server ran.
 const RETRY_DELAY: Duration = Duration::from_millis(1_000);
 
 /// Forwards a call to `/services/{name}/...` to a server of the service.
--- a/src/traffic/handlers/text_generation.rs
+++ b/src/traffic/handlers/text_generation.rs
@@ -47,7 +47,7 @@
     let generation = Generation::new(context, request, is_suspect).await;
     let mut running = RunningRequest { generation, _permit: permit };
     let first = running.generation.next_item().await?;
-    if running.generation.request().stream {
+    if running.generation.request().is_streamed {
         return Ok(stream_reply(running, first));
     }
     complete_reply(running, first, limits.answer_bytes).await
--- a/src/traffic/power_commitment.rs
+++ b/src/traffic/power_commitment.rs
@@ -28,7 +28,7 @@
     server: ServerId,
     address: SocketAddr,
     work_deadline: Instant,
-    released: bool,
+    is_released: bool,
 }
 
 /// Why no watts were committed.
@@ -83,12 +83,12 @@
             };
         }
         let PoweredAttempt { key, request, server, address, work_deadline, .. } = attempt;
-        Ok(Self { context, key, request, server, address, work_deadline, released: false })
+        Ok(Self { context, key, request, server, address, work_deadline, is_released: false })
     }
 
     /// Releases the watts; call it when the server no longer runs the request or never did.
     pub fn release(&mut self) {
-        if !std::mem::replace(&mut self.released, true) {
+        if !std::mem::replace(&mut self.is_released, true) {
             self.context.power.finish(&self.key);
         }
     }
@@ -96,7 +96,7 @@
 
 impl Drop for PowerCommitment {
     fn drop(&mut self) {
-        if self.released {
+        if self.is_released {
             return;
         }
         let context = Arc::clone(&self.context);
@@ -120,6 +120,8 @@
     request: RequestId,
     server: ServerId,
     address: SocketAddr,
+    /// When the server has ended the request at the latest: the deadline that it enforces, plus the
+    /// maximum time that the request took to reach it.
     end_deadline: Instant,
 }
 
--- a/src/traffic/request_metrics.rs
+++ b/src/traffic/request_metrics.rs
@@ -23,7 +23,7 @@
     }
 
     /// Records the time to first token of a request, measured from its arrival.
-    pub fn count_first_token(&self, request: &GenerationRequest, now: Instant) {
+    pub fn observe_first_token(&self, request: &GenerationRequest, now: Instant) {
         let timeout = Duration::from_millis(self.settings.limits.request_timeout_ms);
         let time_left = request.deadline.saturating_duration_since(now);
         let time_to_first_token = timeout.saturating_sub(time_left);
--- a/src/traffic/suspect_gate.rs
+++ b/src/traffic/suspect_gate.rs
@@ -30,7 +30,7 @@
     }
 }
 
-/// Chooses a server for a suspect, or none if no server is eligible.
+/// Chooses a server for a suspect, or `None` if no server is eligible.
 ///
 /// Each node starts its search at another offset of the server list, by its rank among the live
 /// nodes, so that suspects of different nodes run on different servers if there are enough.
--- a/tests/whole_path/claims.rs
+++ b/tests/whole_path/claims.rs
@@ -34,7 +34,7 @@
         senders.into_iter().map(|sender| sender.join().unwrap()).collect()
     });
     let answered = answers.iter().filter(|answer| answer.status.is_success()).count();
-    assert_eq!(answered, 2, "both calls to the node that ran the call get its answer");
+    assert_eq!(answered, 2, "both callers of the node that ran the call get its answer");
     let unknown = answers.iter().filter(|answer| answer.status == 409).count();
     assert_eq!(unknown, 4);
     assert_eq!(site.service.runs().get("tally-1"), Some(&1));
--- a/tests/whole_path/partners.rs
+++ b/tests/whole_path/partners.rs
@@ -84,10 +84,13 @@
 fn wait_live(nodes: &[Node], live: u64) -> Duration {
     let started_at = Instant::now();
     while nodes.iter().any(|node| metric(node, "coriandertide_live_nodes ") != live) {
-        assert!(started_at.elapsed() < Duration::from_secs(30), "{live} nodes are not seen");
+        assert!(
+            started_at.elapsed() < Duration::from_secs(30),
+            "{live} nodes are not counted as live"
+        );
         std::thread::sleep(Duration::from_millis(20));
     }
-    println!("{live} live nodes seen after {} ms", started_at.elapsed().as_millis());
+    println!("{live} live nodes counted after {} ms", started_at.elapsed().as_millis());
     started_at.elapsed()
 }
 
--- a/tests/whole_path/poison.rs
+++ b/tests/whole_path/poison.rs
@@ -33,7 +33,7 @@
         has_received && metrics.contains("coriandertide_live_nodes 2\n")
     };
     while !nodes.iter().all(is_linked) {
-        assert!(Instant::now() < deadline, "the nodes do not see each other");
+        assert!(Instant::now() < deadline, "the nodes are not linked");
         thread::sleep(Duration::from_millis(20));
     }
 }
