--- a/src/adapters/connection_pool.rs
+++ b/src/adapters/connection_pool.rs
@@ -27,8 +27,9 @@
 /// Time after which the kernel closes a connection with unacknowledged bytes.
 const UNACKNOWLEDGED_TIMEOUT_MS: u32 = 1_500;
 
-/// Idle time before the first keepalive probe. With the next two constants the kernel detects a
-/// silent peer within two seconds.
+/// Idle time before the first keepalive probe. With the next two constants and
+/// [`UNACKNOWLEDGED_TIMEOUT_MS`], which also limits unanswered probes, the kernel detects a silent
+/// peer within two seconds.
 const KEEPALIVE_IDLE: Duration = Duration::from_secs(1);
 
 /// Time between two keepalive probes.
@@ -64,9 +65,9 @@
 
 /// Answer whose body is still being received on a connection of the pool.
 pub struct PooledExchange {
-    /// Status.
+    /// Status of the answer.
     pub status: StatusCode,
-    /// Headers.
+    /// Headers of the answer.
     pub headers: HeaderMap,
     body: Incoming,
     connection: Connection,
@@ -122,6 +123,7 @@
         self.lock().entry(key).or_default().push(IdleConnection { connection, usable_until });
     }
 
+    /// Returns an idle connection that becomes ready within [`READY_TIMEOUT`], or opens a new one.
     async fn acquire(
         &self,
         key: &(ServerId, SocketAddr),
--- a/src/adapters/http_client.rs
+++ b/src/adapters/http_client.rs
@@ -28,9 +28,9 @@
 
 /// Response whose body is still being received.
 pub struct Exchange {
-    /// Status.
+    /// Status of the response.
     pub status: StatusCode,
-    /// Headers.
+    /// Headers of the response.
     pub headers: HeaderMap,
     peer: SmolStr,
     body: Incoming,
--- a/src/adapters/http_server.rs
+++ b/src/adapters/http_server.rs
@@ -49,7 +49,7 @@
 /// Limits of a listener.
 #[derive(Clone, Copy, Debug)]
 pub struct ListenerLimits {
-    /// Maximum bytes of a request's head.
+    /// Maximum bytes of a request's head; hyper accepts heads of up to 8 KiB in any case.
     pub head_bytes: usize,
     /// Milliseconds in which a caller must send a head.
     pub head_timeout_ms: u64,
--- a/src/adapters/instance_list.rs
+++ b/src/adapters/instance_list.rs
@@ -26,7 +26,7 @@
 }
 
 impl HttpInstanceList {
-    /// Returns a client of the list at `address`; each call may take `timeout`.
+    /// Returns a client of the list at `address` whose calls fail after `timeout`.
     pub fn new(address: SocketAddr, timeout: Duration) -> Self {
         Self { address, timeout }
     }
--- a/src/adapters/kv_store.rs
+++ b/src/adapters/kv_store.rs
@@ -31,7 +31,7 @@
 }
 
 impl HttpKvStore {
-    /// Returns a client of the store at `address`; each call may take `timeout`.
+    /// Returns a client of the store at `address` whose calls fail after `timeout`.
     pub fn new(address: SocketAddr, timeout: Duration) -> Self {
         Self { address, timeout }
     }
--- a/src/adapters/log_service.rs
+++ b/src/adapters/log_service.rs
@@ -44,7 +44,7 @@
 }
 
 impl HttpLogService {
-    /// Returns a client of the log at `address`; each call may take `timeout`.
+    /// Returns a client of the log at `address` whose calls fail after `timeout`.
     pub fn new(address: SocketAddr, timeout: Duration) -> Self {
         Self { address, timeout }
     }
--- a/src/adapters/model_engine.rs
+++ b/src/adapters/model_engine.rs
@@ -63,8 +63,8 @@
 }
 
 impl HttpModelEngine {
-    /// Returns a client for a node in `availability_zone`. The head of an answer and other calls
-    /// may take `timeout`, and the pause before each frame `frame_timeout`.
+    /// Returns a client for a node in `availability_zone`. Calls fail after `timeout`; that of an
+    /// answer stream covers only the head, and its body fails after `frame_timeout` without data.
     pub fn new(
         availability_zone: AvailabilityZone,
         timeout: Duration,
--- a/src/ports/coordination_store.rs
+++ b/src/ports/coordination_store.rs
@@ -15,7 +15,7 @@
 pub enum RecordPage {
     /// Records in offset order, empty if none arrived in time.
     Records {
-        /// Records.
+        /// Records from the requested offset on.
         records: Vec<KeyedRecord>,
         /// Offset of the next poll.
         next_offset: LogOffset,
--- a/src/ports/dialect.rs
+++ b/src/ports/dialect.rs
@@ -74,7 +74,7 @@
     Configuration(Box<Configuration>),
     /// Weights that all servers of a model have to load.
     Weights {
-        /// Model.
+        /// Name of the model.
         model: ModelId,
         /// Revision of its weights.
         revision: WeightsRevision,
--- a/src/ports/engine_control.rs
+++ b/src/ports/engine_control.rs
@@ -13,9 +13,9 @@
 pub struct WeightsOrder {
     /// Server that must carry it out; any other has to reject the order.
     pub server: ServerId,
-    /// Model.
+    /// Model whose weights to load.
     pub model: ModelId,
-    /// Revision of its weights to load.
+    /// Revision of the weights to load.
     pub revision: WeightsRevision,
     /// What happens to requests that run on the server.
     pub runs: RunPolicy,
--- a/src/ports/log_service.rs
+++ b/src/ports/log_service.rs
@@ -16,7 +16,7 @@
     Claims,
     /// Leases, such as the placement lease.
     Leases,
-    /// Shares of the power budget.
+    /// Shares of the power budget that nodes hold.
     Power,
 }
 
@@ -27,7 +27,7 @@
     pub offset: LogOffset,
     /// When it was appended, by the log's clock.
     pub appended_at: SystemTime,
-    /// Payload.
+    /// Content of the record, which the log does not interpret.
     pub payload: Bytes,
 }
 
--- a/src/ports/model_engine.rs
+++ b/src/ports/model_engine.rs
@@ -20,7 +20,7 @@
     pub path: &'static str,
     /// Body in the public format of that endpoint, with `stream` set.
     pub body: Value,
-    /// Priority.
+    /// Priority of the request.
     pub priority: Priority,
     /// Version of the weights that the request must run on.
     pub weights_version: WeightsVersion,
@@ -73,7 +73,7 @@
 /// Model that an engine has loaded or is to load.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct LoadedModel {
-    /// Model.
+    /// Name of the model.
     pub model: ModelId,
     /// Version of its weights.
     pub weights_version: WeightsVersion,
@@ -82,14 +82,14 @@
     pub adapters: Vec<ModelId>,
 }
 
-/// Load of an engine when it sent the report.
+/// Load of an engine at the time of the report; it may have changed since.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct LoadReport {
     /// Incarnation of the engine.
     pub incarnation: Incarnation,
-    /// Requests in the batch.
+    /// Requests that the engine is running.
     pub running_requests: u32,
-    /// Requests waiting.
+    /// Requests in the engine's queue.
     pub waiting_requests: u32,
     /// Prompt tokens waiting for prefill.
     pub waiting_prompt_tokens: u64,
--- a/src/ports/plain_service.rs
+++ b/src/ports/plain_service.rs
@@ -11,24 +11,24 @@
 /// HTTP call to a plain service.
 #[derive(Clone, Debug)]
 pub struct ServiceCall {
-    /// Method.
+    /// HTTP method.
     pub method: Method,
     /// Path and query, relative to the root of the service.
     pub path: SmolStr,
     /// Headers to forward to the service.
     pub headers: HeaderMap,
-    /// Body.
+    /// Body of the request.
     pub body: Bytes,
 }
 
 /// Complete HTTP response of a plain service.
 #[derive(Clone, Debug)]
 pub struct ServiceResponse {
-    /// Status.
+    /// HTTP status.
     pub status: StatusCode,
     /// Headers to forward to the caller.
     pub headers: HeaderMap,
-    /// Body.
+    /// Body of the response.
     pub body: Bytes,
 }
 
