--- a/src/document/mod.rs
+++ b/src/document/mod.rs
@@ -141,7 +141,8 @@
     pub max_nodes: u32,
     /// Delays between availability zones.
     pub zone_links: Vec<ZoneLink>,
-    /// Milliseconds for which a node may use its share of the power budget without reaching the log.
+    /// Milliseconds for which a node that cannot reach the log may use its share of the power
+    /// budget.
     pub power_lease_ms: u64,
 }
 
--- a/src/document/raw.rs
+++ b/src/document/raw.rs
@@ -198,7 +198,7 @@
     pub max_nodes: u32,
     /// Delays between availability zones.
     pub zone_links: Vec<RawZoneLink>,
-    /// Seconds for which a node may use its share of the power budget without reaching the log.
+    /// Seconds for which a node that cannot reach the log may use its share of the power budget.
     pub power_lease_s: u32,
 }
 
--- a/src/settings/control.rs
+++ b/src/settings/control.rs
@@ -9,13 +9,15 @@
 #[serde(default)]
 #[schemars(deny_unknown_fields)]
 pub struct ControlSettings {
-    /// Milliseconds between reads of each log stream.
+    /// Milliseconds between reads of the configuration stream of the log. Beyond 16 live nodes the
+    /// period grows with their number.
     pub log_period_ms: u64,
     /// Milliseconds between reads of the instance list.
     pub instance_list_period_ms: u64,
     /// Milliseconds between load reports of a server that is in use.
     pub load_period_ms: u64,
-    /// Timeout of an exchange with the platform in milliseconds.
+    /// Timeout in milliseconds of an exchange with the platform or a model engine; for an answer
+    /// stream it covers only the head.
     pub exchange_timeout_ms: u64,
     /// Milliseconds after which the configuration is republished; less than a quarter of the time
     /// for which the log retains records.
--- a/src/settings/limits.rs
+++ b/src/settings/limits.rs
@@ -13,7 +13,8 @@
     pub head_bytes: usize,
     /// Maximum bytes of a request's body.
     pub body_bytes: usize,
-    /// Maximum bytes of an answer.
+    /// Maximum bytes of a service's response body, or of the text of a model answer that is not
+    /// streamed.
     pub answer_bytes: usize,
     /// Milliseconds in which a caller must send a request's head or body.
     pub read_timeout_ms: u64,
@@ -21,7 +22,7 @@
     pub request_timeout_ms: u64,
     /// Milliseconds without a frame after which an attempt fails.
     pub frame_timeout_ms: u64,
-    /// Milliseconds for which a draining node accepts requests after it stopped reporting ready.
+    /// Milliseconds for which a draining node still accepts requests once it reports not ready.
     pub drain_grace_ms: u64,
     /// Milliseconds for which a draining node waits for running requests.
     pub drain_timeout_ms: u64,
--- a/src/settings/mod.rs
+++ b/src/settings/mod.rs
@@ -76,7 +76,8 @@
     ///
     /// # Errors
     ///
-    /// The text is not valid JSON, or the error names all unknown fields and invalid values.
+    /// The text is not valid JSON or a value has the wrong type. Otherwise the error names all
+    /// unknown fields and invalid values.
     pub fn parse(text: &str) -> anyhow::Result<Self> {
         let mut faults = Faults::default();
         let raw: RawSettings = faults.read_json(text)?;
--- a/src/types/error.rs
+++ b/src/types/error.rs
@@ -73,7 +73,8 @@
         Self { step, peer: peer.into(), delivery, source: source.into() }
     }
 
-    /// Whether the connection was lost after the request was sent.
+    /// Whether reading the response failed before the deadline, usually because the connection was
+    /// lost.
     pub fn is_disconnect(&self) -> bool {
         matches!(self.step, Step::ReadHead | Step::ReadBody) && !self.source.is::<DeadlinePassed>()
     }
