--- a/src/metrics/labels.rs
+++ b/src/metrics/labels.rs
@@ -22,7 +22,7 @@
 /// Label of a reason or outcome from a fixed set.
 #[derive(Clone, Debug, EncodeLabelSet, Eq, Hash, PartialEq)]
 pub struct ReasonLabels {
-    /// Reason.
+    /// Reason or outcome.
     pub reason: String,
 }
 
--- a/src/metrics/mod.rs
+++ b/src/metrics/mod.rs
@@ -60,11 +60,11 @@
     pub answers: Family<WorkspaceLabels, Counter>,
     /// Failed calls, by error code and by whether they were executed.
     pub failures: Family<FailureLabels, Counter>,
-    /// Time to first token, measured from the acceptance of the request.
+    /// Time to first token, measured from the arrival of the request.
     pub first_token_seconds: LatencyFamily<WorkspaceLabels>,
-    /// Prompt tokens sent to engines.
+    /// Prompt tokens of completely answered requests, as counted by the engines.
     pub prompt_tokens: Family<WorkspaceLabels, Counter>,
-    /// Prompt tokens that engines reused from their KV cache.
+    /// Prompt tokens of completely answered requests that engines reused from their KV cache.
     pub cached_tokens: Family<WorkspaceLabels, Counter>,
     /// Prompt tokens that the router expected to be cached but the engine recomputed.
     pub recomputed_tokens: Family<WorkspaceLabels, Counter>,
@@ -110,7 +110,8 @@
     pub document_revision: Gauge,
     /// Latest accepted revision; above the revision in force while that document is held back.
     pub document_accepted_revision: Gauge,
-    /// 1 while the latest accepted document is held back because this build finds it invalid.
+    /// 1 while the latest accepted document is held back because this build finds it invalid, or
+    /// while a record of a later format stops the fold.
     pub document_held_back: Gauge,
     /// Malformed records read from the configuration stream.
     pub configuration_bad_records: Counter,
