--- a/src/admin/edit.rs
+++ b/src/admin/edit.rs
@@ -114,7 +114,7 @@
 ) -> Result<AppendStatus, AdminError> {
     let edit = match prepare_edit(state, request.clone(), (&caller.name, &caller.owner)) {
         Ok(edit) => edit,
-        // An earlier append may still be folded; that gives its outcome.
+        // An append that may have reached the log decides the outcome once it is folded.
         Err(EditRefusal::Outdated(_)) if status != AppendStatus::NotAppended => return Ok(status),
         Err(refusal) => return Err(refusal_error(state, refusal)),
     };
--- a/src/admin/messages.rs
+++ b/src/admin/messages.rs
@@ -166,11 +166,11 @@
 #[serde(rename_all = "snake_case")]
 #[strum(serialize_all = "snake_case")]
 pub enum NodeState {
-    /// In service.
+    /// In service and not suspected.
     Live,
-    /// Possibly failed: a partner could not reach the node.
+    /// Suspected or considered to have failed because partners could not reach it.
     Suspected,
-    /// Stopping.
+    /// Announced that it is stopping.
     Leaving,
 }
 
@@ -268,7 +268,7 @@
 /// Reply to a request that failed.
 #[derive(Clone, Debug, Deserialize, JsonSchema, PartialEq, Serialize)]
 pub struct ErrorReply {
-    /// Error.
+    /// Error that ended the request.
     pub error: ErrorBody,
 }
 
--- a/src/admin/restore.rs
+++ b/src/admin/restore.rs
@@ -20,8 +20,10 @@
 ///
 /// # Errors
 ///
-/// A node still has a configuration, the document is invalid, or the outcome of the append is a
-/// failure or unknown.
+/// [`ErrorCode::NotExpired`] if a node still has a configuration, [`ErrorCode::NotReady`] if this
+/// node has not read the stream yet, [`ErrorCode::InvalidDocument`] if the document has faults,
+/// [`ErrorCode::LogUnavailable`] if the record was not appended, and [`ErrorCode::OutcomeUnknown`]
+/// if it may have been or is not read back in time.
 pub async fn restore(
     context: &AdminContext,
     request: RestoreRequest,
--- a/src/admin/routes.rs
+++ b/src/admin/routes.rs
@@ -45,7 +45,7 @@
 /// Route matched by a request.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct MatchedRoute {
-    /// Route.
+    /// Route that the method and path of the request match.
     pub route: AdminRoute,
     /// Value of the path parameter, none if the route has none.
     pub parameter: Option<SmolStr>,
--- a/src/admin/server.rs
+++ b/src/admin/server.rs
@@ -18,7 +18,8 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// `retry-after` header of replies with status 503 or 504.
+/// Value of the `retry-after` header of replies with status 503 or 504, which callers get while the
+/// node or the log is not ready.
 const RETRY_AFTER_S: u64 = 2;
 
 /// Shared state of the handlers.
--- a/src/admin/view.rs
+++ b/src/admin/view.rs
@@ -47,7 +47,7 @@
     pub held_back: Option<Faults>,
     /// Last offset of the stream if its first records have expired and the rest holds no base.
     pub expired_to: Option<LogOffset>,
-    /// Record of a later format, which stops the fold until this build is replaced, if any.
+    /// Record of a later format, which stops the fold until a later build reads it, if any.
     pub newer_record: Option<NewerRecord>,
     /// Latest malformed records.
     pub malformed_records: Vec<MalformedRecord>,
--- a/src/cli/apply.rs
+++ b/src/cli/apply.rs
@@ -21,7 +21,7 @@
 /// Maximum number of times that a change is planned, including the plan shown to the user. It is
 /// planned again if sections that its validation depends on have changed.
 const MAX_PLANS: u32 = 5;
-/// Maximum number of times that an edit is sent while its outcome is unknown.
+/// Maximum number of times that an edit is sent while no reply arrives or its outcome is unknown.
 const MAX_SENDS: u32 = 5;
 
 /// Options of `apply`.
@@ -140,7 +140,7 @@
     Err(CliError::new(ExitStatus::Conflict, message))
 }
 
-/// Sends an edit, and again under the same id while its outcome is unknown.
+/// Sends an edit, and again under the same id while no reply arrives or its outcome is unknown.
 async fn send_edit(client: &AdminClient, request: &EditRequest) -> Result<EditReply, ClientError> {
     let mut attempts = 0;
     loop {
--- a/src/cli/exit.rs
+++ b/src/cli/exit.rs
@@ -14,17 +14,17 @@
     Failure = 1,
     /// The document is invalid.
     Invalid = 2,
-    /// The change conflicts with a later one.
+    /// The change conflicts with another edit or with the accepted document.
     Conflict = 3,
     /// The key is unknown or does not allow the command.
     Forbidden = 4,
-    /// The node or the log could not be reached.
+    /// The node or the log could not be reached, or the node is not ready.
     Unavailable = 5,
     /// The change may have been applied.
     OutcomeUnknown = 6,
     /// The revision was not in force on all nodes before the timeout.
     TimedOut = 7,
-    /// The file differs from the document.
+    /// The file differs from the accepted document; nothing was changed.
     Different = 8,
 }
 
