--- a/src/admin/messages.rs
+++ b/src/admin/messages.rs
@@ -22,7 +22,7 @@
     pub in_force: Revision,
     /// Sections by path.
     pub sections: BTreeMap<SectionPath, SectionReply>,
-    /// Revisions of removed sections; an edit that adds one again gives its revision as the base.
+    /// Revisions of recently removed sections; an edit that adds one again is based on its revision.
     pub removed: BTreeMap<SectionPath, Revision>,
 }
 
--- a/src/cli/diff.rs
+++ b/src/cli/diff.rs
@@ -109,7 +109,8 @@
     }
 }
 
-/// Returns the revision of a section in the accepted document, 0 if it never existed.
+/// Returns the revision of a section in the accepted document, 0 if it neither exists nor was
+/// removed recently.
 fn section_revision(accepted: &DocumentReply, section: &SectionPath) -> Revision {
     match accepted.sections.get(section) {
         Some(current) => current.revision,
