--- a/src/admin/messages.rs
+++ b/src/admin/messages.rs
@@ -22,7 +22,7 @@
     pub in_force: Revision,
     /// Sections by path.
     pub sections: BTreeMap<SectionPath, SectionReply>,
-    /// Revisions of recently removed sections; an edit that adds one again is based on its revision.
+    /// Revisions of recently removed sections: the base of an edit that adds one of them again.
     pub removed: BTreeMap<SectionPath, Revision>,
 }
 
