--- a/examples/capacity_slopes/power.rs
+++ b/examples/capacity_slopes/power.rs
@@ -52,9 +52,10 @@
         let bytes = serde_json::to_vec(&checkpoint)?.len();
         checkpoint_points.push(Point { size, cost: bytes as f64 });
     }
-    let ask = PowerMessage::Ask { ask: 1_000, parts: 1, needed_ms: 90_000, held_grants: vec![7] };
+    let message =
+        PowerMessage::Ask { ask: 1_000, parts: 1, needed_ms: 90_000, held_grants: vec![7] };
     let mut ask_bytes = Vec::new();
-    ciborium::into_writer(&ask, &mut ask_bytes)?;
+    ciborium::into_writer(&message, &mut ask_bytes)?;
     Ok(PowerCosts {
         tick_us: Slope::fit("power: us a tick, by nodes", tick_points),
         checkpoint_bytes: Slope::fit("power: bytes of a checkpoint, by nodes", checkpoint_points),
--- a/examples/local_site/options.rs
+++ b/examples/local_site/options.rs
@@ -100,7 +100,7 @@
     Partition,
     /// Appends to the log take effect but their answers are lost for five seconds.
     LostAppendAnswer,
-    /// All nodes stop abruptly at once and new ones start.
+    /// All nodes stop abruptly at the same time and new ones start.
     HerdRestart,
     /// An edit lowers the power budget by a quarter of what running requests may draw.
     PowerCut,
