--- a/tests/configuration/decoders.rs
+++ b/tests/configuration/decoders.rs
@@ -1,6 +1,6 @@
 //! Decoders of records, copies and documents never panic, and their errors have a message.
 
-use super::seeded;
+use super::proptest_config;
 use coriandertide::decision::configuration::{
     ConfigurationCopy, ConfigurationRecord, RecordError, validate_json,
 };
@@ -32,7 +32,7 @@
 }
 
 proptest! {
-    #![proptest_config(seeded(602))]
+    #![proptest_config(proptest_config(602))]
 
     #[test]
     fn decoders_never_panic(bytes in prop::collection::vec(any::<u8>(), 0..64), value in any_json()) {
--- a/tests/configuration/editors.rs
+++ b/tests/configuration/editors.rs
@@ -2,7 +2,7 @@
 //! edit is lost or applied twice.
 
 use super::generate::log_record;
-use super::seeded;
+use super::proptest_config;
 use coriandertide::decision::configuration::{
     ConfigurationEvent, ConfigurationFollower, ConfigurationRecord, EditOutcome, EditRefusal,
     EditRequest, SectionChange, prepare_edit,
@@ -113,7 +113,7 @@
 }
 
 proptest! {
-    #![proptest_config(Config { cases: 32, ..seeded(603) })]
+    #![proptest_config(Config { cases: 32, ..proptest_config(603) })]
 
     #[test]
     fn no_update_is_lost_or_applied_twice(seed in any::<u64>()) {
--- a/tests/configuration/fold.rs
+++ b/tests/configuration/fold.rs
@@ -3,7 +3,7 @@
 
 use super::generate::{Step, log_record, steps};
 use super::naive::NaiveFold;
-use super::seeded;
+use super::proptest_config;
 use coriandertide::decision::configuration::{
     ConfigurationCommand, ConfigurationEvent, ConfigurationFollower, ConfigurationRecord,
     KindRevision, Snapshot,
@@ -69,7 +69,7 @@
 }
 
 proptest! {
-    #![proptest_config(seeded(601))]
+    #![proptest_config(proptest_config(601))]
 
     #[test]
     fn follower_agrees_with_naive_fold(
--- a/tests/relay/choose.rs
+++ b/tests/relay/choose.rs
@@ -60,7 +60,7 @@
     let preferred = choose(&fleet, &prompt, now);
     let keys = &preferred.prompt.as_ref().unwrap().keys;
     fleet.prefixes.add_cached(keys, &preferred.server, true, now);
-    load(&mut fleet, &preferred.server, 20_000, now);
+    set_partner_unread_tokens(&mut fleet, &preferred.server, 20_000, now);
     let spill = choose(&fleet, &prompt, now);
     assert_ne!(spill.server, preferred.server);
     let spill = spill.prompt.unwrap();
@@ -79,7 +79,7 @@
         true,
         now,
     );
-    load(&mut fleet, &preferred.server, 2_000, now);
+    set_partner_unread_tokens(&mut fleet, &preferred.server, 2_000, now);
     assert_eq!(choose(&fleet, &prompt, now).server, preferred.server);
 }
 
@@ -306,7 +306,7 @@
     let now = Instant::now();
     let mut fleet = fleet(60, 1);
     for index in 1..60 {
-        add_requests(&mut fleet, &format!("s{index}"), 40, now);
+        set_partner_requests(&mut fleet, &format!("s{index}"), 40, now);
     }
     let chosen = (0..200).map(|i| choose(&fleet, &long_prompt(i, i), now).server);
     let to_empty = chosen.filter(|server| server == "s0").count();
@@ -320,7 +320,7 @@
     let mut fleet = fleet(12, 1);
     let prompt = long_prompt(3, 3);
     let preferred = choose(&fleet, &prompt, now).server;
-    add_requests(&mut fleet, &preferred, 54, now);
+    set_partner_requests(&mut fleet, &preferred, 54, now);
     assert_ne!(choose(&fleet, &prompt, now).server, preferred);
 }
 
@@ -347,7 +347,7 @@
     let prompt = long_prompt(5, 5);
     for _ in 0..6 {
         let preferred = choose(&fleet, &prompt, now).server;
-        add_requests(&mut fleet, &preferred, 70, now);
+        set_partner_requests(&mut fleet, &preferred, 70, now);
     }
     let choice = choose(&fleet, &prompt, now);
     assert!(choice.cost_ms < 400.0, "{choice:?}");
@@ -380,7 +380,7 @@
     let (holder, holder_address) = (holder.entry.id.clone(), holder.entry.address);
     fleet.prefixes.add_stored(&keys, now);
     fleet.prefixes.add_cached_by_partner(&[(*keys.last().unwrap(), holder.clone())], now);
-    load(&mut fleet, &holder, 40_000, now);
+    set_partner_unread_tokens(&mut fleet, &holder, 40_000, now);
     let fetched = |at| choose(&fleet, &prompt, at).prompt.unwrap().fetch_from;
     assert_eq!(fetched(now + ms(1_000)), Some(holder_address));
     assert_eq!(fetched(now + ms(3_000)), Some(SocketAddr::from(([127, 0, 0, 1], 9))));
--- a/tests/relay/fixture.rs
+++ b/tests/relay/fixture.rs
@@ -93,16 +93,17 @@
     fleet.choose(query(prompt), now).unwrap()
 }
 
-/// Adds `tokens` of prompts not prefilled yet to a server, as a partner's load.
-pub fn load(fleet: &mut Fleet, server: &SmolStr, tokens: u32, now: Instant) {
+/// Sets the load that a partner reports for a server: one request with `tokens` prompt tokens that
+/// have not been prefilled yet.
+pub fn set_partner_unread_tokens(fleet: &mut Fleet, server: &SmolStr, tokens: u32, now: Instant) {
     let unread_tokens = coriandertide::decision::relay::server::UnreadTokens::new(1, tokens);
     let load = ServerLoad { requests: 1, unread_tokens, ..ServerLoad::default() };
     let update = ServerUpdate { server: server.clone(), load, ..ServerUpdate::default() };
     fleet.apply_updates(&"partner".into(), &[update], now);
 }
 
-/// Adds requests with prefilled prompts to a server, as a partner's load.
-pub fn add_requests(fleet: &mut Fleet, server: &str, requests: u32, now: Instant) {
+/// Sets the load that a partner reports for a server: `requests` requests with prefilled prompts.
+pub fn set_partner_requests(fleet: &mut Fleet, server: &str, requests: u32, now: Instant) {
     let load = ServerLoad { requests, ..ServerLoad::default() };
     let server = fleet.server_mut(&server.into()).unwrap();
     let update = ServerUpdate { load, ..ServerUpdate::default() };
--- a/tests/routing/fixture.rs
+++ b/tests/routing/fixture.rs
@@ -17,7 +17,7 @@
 pub const MODEL: &str = "manuals";
 
 /// Returns the configuration of a property test with a fixed seed.
-pub fn property_config(seed: u64) -> Config {
+pub fn proptest_config(seed: u64) -> Config {
     let cases = std::env::var("COT_PROPTEST_CASES").ok().and_then(|text| text.parse().ok());
     Config {
         cases: cases.unwrap_or(256),
--- a/tests/routing/homes.rs
+++ b/tests/routing/homes.rs
@@ -1,6 +1,6 @@
 //! Homes of a prefix against a full sort, and the number of homes under load.
 
-use crate::fixture::{Node, levels, property_config, server};
+use crate::fixture::{Node, levels, proptest_config, server};
 use crate::naive::naive_homes;
 use coriandertide::decision::routing::homes::{HomeCountInputs, PrefixRate, ranked_servers};
 use coriandertide::decision::routing::{RoutingConfig, RoutingEvent};
@@ -11,7 +11,7 @@
     HomeCountInputs { live_nodes: 4, occupancy_s: 1.0, concurrent_requests: 10, servers: 12 };
 
 proptest! {
-    #![proptest_config(property_config(42))]
+    #![proptest_config(proptest_config(42))]
 
     #[test]
     fn homes_match_a_full_sort(
--- a/tests/routing/poll.rs
+++ b/tests/routing/poll.rs
@@ -1,12 +1,12 @@
 //! Poll planning within the byte budget, in virtual time.
 
-use crate::fixture::{property_config, server};
+use crate::fixture::{proptest_config, server};
 use coriandertide::decision::routing::{PollConfig, PollKind, PollPlanner};
 use proptest::prelude::*;
 use std::time::{Duration, Instant};
 
 proptest! {
-    #![proptest_config(property_config(44))]
+    #![proptest_config(proptest_config(44))]
 
     #[test]
     fn polls_stay_within_the_budget(
--- a/tests/routing/prefix.rs
+++ b/tests/routing/prefix.rs
@@ -1,6 +1,6 @@
 //! Levels, keys and anchors of prompts.
 
-use crate::fixture::{MODEL, levels, property_config};
+use crate::fixture::{MODEL, levels, proptest_config};
 use coriandertide::decision::routing::{PrefixLevel, PrefixScope, prompt_levels};
 use proptest::prelude::*;
 use serde_json::{Value, json};
@@ -65,7 +65,7 @@
 }
 
 proptest! {
-    #![proptest_config(property_config(41))]
+    #![proptest_config(proptest_config(41))]
 
     #[test]
     fn equal_keys_mean_equal_prefixes(
--- a/tests/routing/prefix_index.rs
+++ b/tests/routing/prefix_index.rs
@@ -1,6 +1,6 @@
 //! The prefix index against a naive reference index, and its maximum size.
 
-use crate::fixture::{Node, document, idle_report, levels, property_config, server};
+use crate::fixture::{Node, document, idle_report, levels, proptest_config, server};
 use crate::naive::NaiveIndex;
 use coriandertide::decision::routing::{
     PrefixLevel, RoutingConfig, RoutingEvent, RoutingPolicy, RoutingState, SentRequest,
@@ -115,7 +115,7 @@
 }
 
 proptest! {
-    #![proptest_config(property_config(43))]
+    #![proptest_config(proptest_config(43))]
 
     #[test]
     fn holders_match_the_naive_index(steps in proptest::collection::vec(step(), 1..60)) {
