--- a/tests/relay/main.rs
+++ b/tests/relay/main.rs
@@ -1,6 +1,6 @@
 //! Relay decisions in virtual time, without a network.
 
-#![allow(clippy::unwrap_used, reason = "a failed step of a test is to panic")]
+#![allow(clippy::unwrap_used, reason = "a failed step must fail the test")]
 
 mod admission;
 mod choose;
--- a/tests/routing/main.rs
+++ b/tests/routing/main.rs
@@ -1,6 +1,6 @@
 //! Tests of routing decisions against naive reference implementations, in virtual time.
 
-#![allow(clippy::unwrap_used, reason = "a failed step of a test is to panic")]
+#![allow(clippy::unwrap_used, reason = "a failed step must fail the test")]
 
 mod faults;
 mod fixture;
--- a/tests/standins/main.rs
+++ b/tests/standins/main.rs
@@ -1,6 +1,6 @@
 //! Tests of the stand-ins over real sockets on loopback.
 
-#![allow(clippy::unwrap_used, reason = "a failed step panics the test")]
+#![allow(clippy::unwrap_used, reason = "a failed step must fail the test")]
 
 mod cache;
 mod client;
--- a/tests/traffic/main.rs
+++ b/tests/traffic/main.rs
@@ -1,7 +1,7 @@
 //! Tests of the traffic threads' decisions in virtual time: admission, retries, poison requests and
 //! frame order.
 
-#![allow(clippy::unwrap_used, reason = "a failed step of a test is to panic")]
+#![allow(clippy::unwrap_used, reason = "a failed step must fail the test")]
 
 mod admission;
 mod fairness;
--- a/tests/whole_path/main.rs
+++ b/tests/whole_path/main.rs
@@ -1,7 +1,7 @@
 //! End-to-end tests over real sockets: a caller, nodes, and stand-ins for the platform, the model
 //! engines and a plain service.
 
-#![allow(clippy::unwrap_used, reason = "a failed step of a test is to panic")]
+#![allow(clippy::unwrap_used, reason = "a failed step must fail the test")]
 
 mod answers;
 mod caller;
