--- a/standins/src/engine/batch.rs
+++ b/standins/src/engine/batch.rs
@@ -37,7 +37,8 @@
 }
 
 impl Batch {
-    /// Returns an empty batch that runs up to `max_running` requests, at least 1.
+    /// Returns an empty batch that runs up to `max_running` requests and queues up to
+    /// `max_waiting`; both limits are at least 1.
     pub fn new(max_running: usize, max_waiting: usize) -> Self {
         Self {
             max_running: max_running.max(1),
@@ -106,7 +107,7 @@
         self.running.remove(&position).is_some()
     }
 
-    /// Returns the number of requests accepted into the queue since the start.
+    /// Returns the number of requests accepted into the queue by this incarnation.
     pub fn accepted_requests(&self) -> u64 {
         self.accepted_requests
     }
@@ -131,7 +132,7 @@
         self.prefill_ends_at
     }
 
-    /// Returns the expected end of each running request.
+    /// Returns when each running request is expected to have been decoded.
     pub fn decode_end_times(&self) -> Vec<Instant> {
         self.running.values().copied().collect()
     }
--- a/standins/src/engine/config.rs
+++ b/standins/src/engine/config.rs
@@ -26,7 +26,7 @@
     pub models: Vec<ServedModel>,
     /// Maximum requests that run at once.
     pub max_running_requests: usize,
-    /// Maximum waiting requests; more are refused.
+    /// Maximum requests in the queue; more are refused.
     pub max_waiting_requests: usize,
     /// Capacity of the prefix cache, in blocks of 16 tokens.
     pub cache_blocks: usize,
@@ -38,7 +38,7 @@
     pub import_tokens_per_s: u32,
     /// Tokens in each frame of a stream.
     pub tokens_per_frame: u32,
-    /// Age of the published load report, in milliseconds.
+    /// Maximum age of the published load report, in milliseconds.
     pub load_lag_ms: u64,
     /// Delay until a cache event becomes visible, in milliseconds.
     pub event_delay_ms: u64,
--- a/standins/src/engine/estimate.rs
+++ b/standins/src/engine/estimate.rs
@@ -21,7 +21,7 @@
 }
 
 impl EngineStandIn {
-    /// Simulates the queue with `prompt` at its end.
+    /// Simulates the queue with `prompt`, which has no cache salt, at its end.
     ///
     /// Returns `None` if the engine would refuse the request.
     pub fn first_token_estimate(&self, model: &str, prompt: &str) -> Option<FirstTokenEstimate> {
--- a/standins/src/engine/events.rs
+++ b/standins/src/engine/events.rs
@@ -6,7 +6,7 @@
 use std::collections::VecDeque;
 use std::time::Instant;
 
-/// Maximum events retained.
+/// Maximum events retained; beyond it the oldest are dropped.
 const MAX_EVENTS: usize = 20_000;
 /// Maximum events in one page.
 const MAX_PAGE_EVENTS: usize = 2_000;
@@ -50,11 +50,13 @@
 }
 
 impl EventLog {
-    /// Records `change`, visible from `visible_at`; a `lost` change only uses up a sequence number.
-    pub fn record(&mut self, change: LevelChange, visible_at: Instant, lost: bool) {
+    /// Records `change` as an event that is visible from `visible_at`.
+    ///
+    /// If `is_lost`, the event is left out, and the gap shows in the sequence numbers.
+    pub fn record(&mut self, change: LevelChange, visible_at: Instant, is_lost: bool) {
         let sequence = self.next_sequence;
         self.next_sequence += 1;
-        if lost {
+        if is_lost {
             return;
         }
         let event = match change {
--- a/standins/src/engine/http.rs
+++ b/standins/src/engine/http.rs
@@ -17,7 +17,9 @@
 /// Milliseconds after which a refused caller may retry.
 const RETRY_AFTER_MS: &str = "200";
 
-/// Handles `request`, delayed by its link in both directions.
+/// Handles `request` after the one-way delay of its link, and delays the response by the same time.
+///
+/// Responses to generation requests are not delayed, but the frames of their streams are.
 pub(crate) async fn answer(shared: Arc<EngineShared>, request: Request<Bytes>) -> HandlerResult {
     let Some(link_delay) = shared.link_delay(&request) else {
         smol::Timer::after(Duration::from_secs(1)).await;
--- a/standins/src/engine/mod.rs
+++ b/standins/src/engine/mod.rs
@@ -69,7 +69,8 @@
         &self.shared.config
     }
 
-    /// Crashes the engine; it restarts with an empty cache after `downtime`.
+    /// Crashes the engine, unless it is already down; it restarts with an empty cache after
+    /// `downtime`.
     pub fn crash(&self, downtime: Duration) {
         self.shared.crash(downtime);
     }
@@ -102,7 +103,8 @@
 }
 
 impl EngineShared {
-    /// Crashes the engine; it restarts with an empty cache after `downtime`.
+    /// Crashes the engine, unless it is already down; it restarts with an empty cache after
+    /// `downtime`.
     pub(crate) fn crash(self: &Arc<Self>, downtime: Duration) {
         let Some(server) = lock(&self.server).take() else { return };
         let address = server.address();
--- a/standins/src/engine/request.rs
+++ b/standins/src/engine/request.rs
@@ -56,7 +56,7 @@
     pub fn parse(endpoint: Endpoint, request: &Request<Bytes>) -> anyhow::Result<Self> {
         let body: Value = serde_json::from_slice(request.body()).context("body is not JSON")?;
         let is_streaming = body.get("stream").and_then(Value::as_bool).unwrap_or(false);
-        ensure!(is_streaming, "the engine answers streams alone");
+        ensure!(is_streaming, "the engine supports only streaming requests");
         let prompt = prompt::from_body(&body).context("the body has no prompt")?;
         let model = body.get("model").and_then(Value::as_str).context("the body has no model")?;
         let max_tokens = body.get("max_tokens").or_else(|| body.get("max_completion_tokens"));
--- a/standins/src/engine/shared.rs
+++ b/standins/src/engine/shared.rs
@@ -26,7 +26,7 @@
     pub reports_idle: bool,
     /// Fraction of cache events that are lost, from 0 to 1, if higher than the configured one.
     pub event_loss_fraction: f64,
-    /// Milliseconds added to the age of the load report.
+    /// Milliseconds added to the maximum age of the load report.
     pub extra_load_lag_ms: u64,
     /// Whether the load report shows the engine as leaving.
     pub leaving: bool,
@@ -124,10 +124,10 @@
     /// Caches `blocks` and records the resulting changes of prefix levels as cache events.
     fn cache_blocks(&mut self, config: &EngineConfig, blocks: &[u64], request: &GenerateRequest) {
         let visible_at = Instant::now() + Duration::from_millis(config.event_delay_ms);
-        let loss = config.event_loss_fraction.max(self.faults.event_loss_fraction);
+        let loss_fraction = config.event_loss_fraction.max(self.faults.event_loss_fraction);
         for change in self.cache.store(blocks, &request.levels) {
-            let lost = self.rng.f64() < loss;
-            self.events.record(change, visible_at, lost);
+            let is_lost = self.rng.f64() < loss_fraction;
+            self.events.record(change, visible_at, is_lost);
         }
     }
 }
--- a/standins/src/ground_truth.rs
+++ b/standins/src/ground_truth.rs
@@ -70,7 +70,7 @@
         draw.peak_watts = draw.current_watts;
     }
 
-    /// Returns the number of engine crashes.
+    /// Returns the number of crashes of all engines since the start.
     pub fn engine_crashes(&self) -> u64 {
         self.engine_crashes.load(Ordering::Relaxed)
     }
@@ -120,7 +120,9 @@
         lock(&self.engines).push(engine);
     }
 
-    /// Returns the highest number of a prompt's tokens that any running engine has cached.
+    /// Returns the most tokens of a prompt with these block hashes that any engine has cached.
+    ///
+    /// Engines that are down after a crash don't count.
     pub(crate) fn max_cached_tokens(&self, blocks: &[u64]) -> u32 {
         let engines: Vec<_> = lock(&self.engines).iter().filter_map(Weak::upgrade).collect();
         engines.iter().map(|engine| engine.cached_tokens(blocks)).max().unwrap_or(0)
--- a/standins/src/http_server.rs
+++ b/standins/src/http_server.rs
@@ -20,8 +20,8 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Maximum attempts of a restarted server to bind its previous port.
-const MAX_BIND_ATTEMPTS: u32 = 50;
+/// Maximum retries of a restarted server that cannot bind its previous port yet.
+const MAX_BIND_RETRIES: u32 = 50;
 /// Pause between two attempts to bind.
 const BIND_RETRY_PAUSE: Duration = Duration::from_millis(10);
 
@@ -57,7 +57,7 @@
     ///
     /// Returns an error if the port stays in use.
     pub async fn restart(address: SocketAddr, handler: Handler) -> anyhow::Result<Self> {
-        for _ in 0..MAX_BIND_ATTEMPTS {
+        for _ in 0..MAX_BIND_RETRIES {
             if let Ok(listener) = bind(address) {
                 return Self::listen(listener, handler);
             }
--- a/standins/src/instance_list.rs
+++ b/standins/src/instance_list.rs
@@ -90,7 +90,7 @@
         self.shared.enqueue_change(instance.name.clone(), Some(instance));
     }
 
-    /// Adds or replaces `instance` without the lag.
+    /// Adds or replaces `instance` without the lag, as if it had been listed for long.
     pub fn put_immediately(&self, instance: Instance) {
         lock(&self.shared.list).visible.insert(instance.name.clone(), instance);
     }
--- a/standins/src/log_service.rs
+++ b/standins/src/log_service.rs
@@ -22,7 +22,7 @@
 /// Settings of the log service.
 #[derive(Clone, Debug)]
 pub struct LogServiceConfig {
-    /// Milliseconds after which a record expires.
+    /// Age at which a record expires, in milliseconds.
     pub retention_ms: u64,
     /// Latency of each call, in milliseconds.
     pub latency_ms: u64,
@@ -108,7 +108,9 @@
         *lock(&self.shared.faults) = faults;
     }
 
-    /// Appends a record to `stream`, bypassing all faults, and returns its offset.
+    /// Appends a record to `stream` as an operator's tool would, and returns its offset.
+    ///
+    /// Faults and latency don't apply.
     pub fn append(&self, stream: &str, payload: impl Into<Bytes>) -> u64 {
         self.shared.append(stream, payload.into())
     }
--- a/standins/src/plain_service.rs
+++ b/standins/src/plain_service.rs
@@ -69,14 +69,14 @@
         *lock(&self.shared.faults) = faults;
     }
 
-    /// Returns the number of runs by idempotency key.
+    /// Returns the number of runs by idempotency key; calls without a key are not counted.
     pub fn runs(&self) -> BTreeMap<String, u32> {
         lock(&self.shared.runs).clone()
     }
 }
 
 impl Shared {
-    /// Counts a run of `key` and returns the runs of it so far.
+    /// Counts a run with `key` and returns the number of runs with it so far.
     fn count_run(&self, key: &str) -> u32 {
         if let Some(ground_truth) = &self.config.ground_truth {
             ground_truth.count_run(key);
--- a/standins/src/zones.rs
+++ b/standins/src/zones.rs
@@ -10,7 +10,7 @@
 const LOSS_ONE_IN: u64 = 100;
 /// Factor on the delay of a retransmitted message.
 const RETRANSMIT_DELAY_FACTOR: u32 = 4;
-/// Upper bound of the jitter added to a delay, in percent of the delay.
+/// Exclusive upper bound of the jitter added to a delay, in percent of the delay.
 const MAX_JITTER_PERCENT: u64 = 25;
 
 /// Link delays and cuts between availability zones, shared by the stand-ins of a site.
@@ -21,7 +21,7 @@
 }
 
 impl ZoneDelays {
-    /// Returns a one-way delay of `one_way` between any two different zones of `zones`.
+    /// Returns links with the one-way delay `one_way` between any two different zones of `zones`.
     pub fn uniform(zones: &[&str], one_way: Duration) -> Self {
         let mut links = BTreeMap::new();
         for from in zones {
