--- a/examples/capacity_slopes/budget.rs
+++ b/examples/capacity_slopes/budget.rs
@@ -12,6 +12,7 @@
 use std::fmt::Write;
 use std::time::Duration;
 
+// Sizes and rates of the target site.
 const NODES: f64 = 370.0;
 const SERVERS: f64 = 620.0;
 const WORKSPACES: f64 = 810.0;
@@ -20,7 +21,9 @@
 const EDITS_PER_DAY: f64 = 2_900.0;
 const MEMBER_CHANGES_PER_DAY: f64 = 2.0 * (12.0 + 72.0);
 const KNOWN_PREFIXES: f64 = 100_000.0;
+
 const SECONDS_PER_DAY: f64 = 86_400.0;
+/// Ticks of the control thread per second.
 const TICKS_PER_S: f64 = 10.0;
 /// Nodes in the largest measured site, whose cost per node is the base of the budget.
 const MEASURED_NODES: f64 = 9.0;
@@ -33,7 +36,7 @@
 /// Factor by which base64 enlarges a payload.
 const BASE64_FACTOR: f64 = 4.0 / 3.0;
 
-// Limits of a node's budget.
+// Limits of a node's budget: percent of one core, memory, and bytes on the network.
 const MAX_CORE_PERCENT: f64 = 4.7;
 const MAX_MEMORY_MB: f64 = 64.0;
 const MAX_BYTES_PER_S: f64 = 14_000.0;
--- a/examples/capacity_slopes/nodes.rs
+++ b/examples/capacity_slopes/nodes.rs
@@ -71,22 +71,22 @@
     let engines = (0..ENGINES).map(start_engine).collect::<anyhow::Result<Vec<_>>>()?;
     let raw: RawDocument = serde_json::from_value(document(&engines))?;
     log.append("configuration", ConfigurationRecord::initial(raw).encode());
-    let memory_before = allocated_bytes();
+    let memory_before_bytes = allocated_bytes();
     let nodes = (0..size)
         .map(|number| start_node(number, &log, &list))
         .collect::<anyhow::Result<Vec<_>>>()?;
     thread::sleep(SETTLE_TIME);
-    let (cpu_before, links_before) = (control_us()?, link_bytes(&nodes)?);
+    let (cpu_before_us, bytes_before) = (control_us()?, link_bytes(&nodes)?);
     let started_at = Instant::now();
     thread::sleep(MEASURE_PERIOD);
-    let memory_growth = allocated_bytes().saturating_sub(memory_before);
-    let (cpu, links) = (control_us()? - cpu_before, link_bytes(&nodes)? - links_before);
+    let memory_growth_bytes = allocated_bytes().saturating_sub(memory_before_bytes);
+    let (cpu_us, bytes) = (control_us()? - cpu_before_us, link_bytes(&nodes)? - bytes_before);
     let node_seconds = started_at.elapsed().as_secs_f64() * size as f64;
     nodes.into_iter().for_each(Node::kill);
     Ok(NodeCost {
-        control_us_per_s: cpu / node_seconds,
-        link_bytes_per_s: links / node_seconds,
-        memory_bytes: memory_growth as f64 / size as f64,
+        control_us_per_s: cpu_us / node_seconds,
+        link_bytes_per_s: bytes / node_seconds,
+        memory_bytes: memory_growth_bytes as f64 / size as f64,
     })
 }
 
--- a/examples/local_site/callers.rs
+++ b/examples/local_site/callers.rs
@@ -16,7 +16,7 @@
 use std::time::{Duration, Instant};
 
 /// Timeout of one attempt.
-const CALL_TIMEOUT: Duration = Duration::from_secs(30);
+const ATTEMPT_TIMEOUT: Duration = Duration::from_secs(30);
 /// Maximum attempts of a call whose connection was lost or whose outcome is unknown.
 const MAX_ATTEMPTS: u32 = 3;
 /// Maximum attempts of a poison request, which is retried after every ending but an answer.
@@ -73,7 +73,7 @@
         let mut attempts = 0;
         let result = loop {
             attempts += 1;
-            let deadline = Instant::now() + CALL_TIMEOUT;
+            let deadline = Instant::now() + ATTEMPT_TIMEOUT;
             let result = match &self.omniscient {
                 Some(omniscient) => {
                     omniscient.attempt(&self.site, arrival, call, &prompt, &body, &expected).await
@@ -101,7 +101,7 @@
         let mut endings = Vec::new();
         let mut last_node = None;
         let result = loop {
-            let deadline = Instant::now() + CALL_TIMEOUT;
+            let deadline = Instant::now() + ATTEMPT_TIMEOUT;
             let send = |address| {
                 let request = self.service_request(arrival, &key);
                 exchange::service_attempt(address, request, &key, deadline)
--- a/examples/local_site/exchange.rs
+++ b/examples/local_site/exchange.rs
@@ -77,7 +77,8 @@
 async fn read_error(exchange: &mut Exchange, deadline: Instant) -> AttemptResult {
     let body = exchange.read_all(MAX_BODY_BYTES, deadline).await.unwrap_or_default();
     let body: Value = serde_json::from_slice(&body).unwrap_or(Value::Null);
-    // An engine that is called directly reports a full queue without the field `run`.
+    // An engine that is called directly does not run a request that finds its queue full, but its
+    // error lacks the field `run`.
     let is_queue_full = body["error"]["code"] == "queue_full";
     let ending = match body["error"]["run"].as_str() {
         Some("not_run") => Ending::NotRun,
--- a/examples/local_site/fault_report.rs
+++ b/examples/local_site/fault_report.rs
@@ -9,9 +9,9 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Length of the windows whose tail latency is computed.
+/// Length of the windows over which the 95th percentile is computed.
 const WINDOW: Duration = Duration::from_secs(1);
-/// Factor over the tail latency before the fault above which a window counts as disturbed.
+/// Factor over the 95th percentile before the fault above which a window counts as disturbed.
 const DISTURBED_FACTOR: f64 = 2.0;
 /// Time after which a lowered budget and a leaving server must have taken effect.
 pub const SETTLE_TIME: Duration = Duration::from_secs(5);
--- a/examples/local_site/faults.rs
+++ b/examples/local_site/faults.rs
@@ -23,7 +23,10 @@
 /// Percentage of the power for running requests that remains after [`Fault::PowerCut`].
 const REMAINING_REQUEST_POWER_PERCENT: u32 = 75;
 
-/// Injects `fault` and blocks until a fault of limited duration is over.
+/// Injects `fault`.
+///
+/// Blocks while a fault of the log or a partition lasts and while a node drains, but not while an
+/// engine is down or a node is paused.
 pub fn inject(site: &Site, fault: Fault, nodes: usize) -> anyhow::Result<()> {
     log::info!("event=fault_injected fault={fault}");
     match fault {
--- a/examples/local_site/omniscient.rs
+++ b/examples/local_site/omniscient.rs
@@ -15,10 +15,10 @@
 
 /// Maximum requests that wait for a powered slot; more are refused.
 const MAX_WAITING_REQUESTS: usize = 64;
-/// Maximum attempts on engines.
+/// Maximum attempts of a request on engines.
 const MAX_ATTEMPTS: u32 = 4;
-/// Timeout of a call.
-const CALL_TIMEOUT: Duration = Duration::from_secs(30);
+/// Timeout of one attempt.
+const ATTEMPT_TIMEOUT: Duration = Duration::from_secs(30);
 /// Time after the link delay until a request shows in the engine's own state.
 const ARRIVAL_MARGIN: Duration = Duration::from_millis(2);
 
@@ -99,7 +99,7 @@
                 .body(Full::new(Bytes::from(body.to_owned())))
                 .expect("a valid request");
             let address = site.engines[engine].address();
-            let deadline = Instant::now() + CALL_TIMEOUT;
+            let deadline = Instant::now() + ATTEMPT_TIMEOUT;
             result = exchange::model_attempt(address, request, expected, deadline).await;
             if result.ending == Ending::Answered {
                 break;
--- a/examples/local_site/options.rs
+++ b/examples/local_site/options.rs
@@ -88,7 +88,7 @@
     LoadLag,
     /// A node drains and a new one starts.
     NodeRestart,
-    /// Callers send requests that crash the engine, and retry them.
+    /// Callers send requests that crash each engine that runs them, and retry them.
     Poison,
     /// The log refuses all calls for five seconds.
     LogOutage,
@@ -96,7 +96,7 @@
     NodeKill,
     /// All threads of a node pause for three seconds.
     NodePause,
-    /// The links to the engines of an availability zone are cut for three seconds.
+    /// The links to engines are cut between one availability zone and the others for three seconds.
     Partition,
     /// Appends to the log take effect but their answers are lost for five seconds.
     LostAppendAnswer,
--- a/examples/local_site/preset.rs
+++ b/examples/local_site/preset.rs
@@ -4,7 +4,7 @@
 
 /// Bytes of a prompt that count as one token.
 pub const TOKEN_BYTES: usize = 4;
-/// Percentage of the requests that each workspace sends.
+/// Percentage of the requests that each workspace sends; a few workspaces send most of them.
 pub const WORKSPACE_PERCENT: [u32; 8] = [30, 22, 16, 10, 8, 6, 5, 3];
 /// Percentage of the engines' request slots that the power budget covers.
 pub const POWERED_SLOT_PERCENT: u32 = 90;
@@ -13,9 +13,9 @@
 #[derive(Clone, Copy, Debug, Display, EnumString, Eq, PartialEq)]
 #[strum(serialize_all = "snake_case")]
 pub enum SiteName {
-    /// Conteo Vial Andino.
+    /// Site of Conteo Vial Andino.
     Conteo,
-    /// Ramsaran & Daughters Solvent Recovery.
+    /// Site of Ramsaran & Daughters Solvent Recovery.
     Ramsaran,
 }
 
@@ -55,11 +55,11 @@
     pub decode_tokens_per_s: u32,
     /// Number of documents (manuals or customer files) in each workspace.
     pub documents_per_workspace: u32,
-    /// Length of a workspace's preamble.
+    /// Length of a workspace's preamble, in tokens.
     pub preamble_tokens: TokenRange,
-    /// Length of a document.
+    /// Length of a document, in tokens.
     pub document_tokens: TokenRange,
-    /// Length of a question.
+    /// Length of a question, in tokens.
     pub question_tokens: TokenRange,
     /// Number of tokens to generate.
     pub completion_tokens: TokenRange,
@@ -73,9 +73,9 @@
     pub omniscient_hit_rate: f64,
 }
 
-/// Power draw of an engine without running requests.
+/// Power draw of an engine without running requests, in watts.
 pub const IDLE_WATTS: u32 = 100;
-/// Additional power draw of each running request.
+/// Additional power draw of each running request, in watts.
 pub const REQUEST_WATTS: u32 = 20;
 
 impl TokenRange {
@@ -136,7 +136,7 @@
         }
     }
 
-    /// Returns the power budget: the idle draw plus the draw of the powered request slots.
+    /// Returns the power budget in watts: the idle draw plus the draw of the powered request slots.
     pub fn budget_watts(&self) -> u32 {
         let slots = self.engines * self.max_running_requests * POWERED_SLOT_PERCENT / 100;
         self.engines * IDLE_WATTS + slots * REQUEST_WATTS
--- a/examples/local_site/report.rs
+++ b/examples/local_site/report.rs
@@ -21,7 +21,7 @@
     pub site: String,
     /// Arrival rate as a fraction of the site's capacity.
     pub load: f64,
-    /// Model requests and service calls per second.
+    /// Calls that ended per second of the run, skipped ones included.
     pub rate_per_s: f64,
     /// Number of arrivals.
     pub requests: usize,
@@ -67,7 +67,7 @@
     pub error_codes: BTreeMap<String, usize>,
     /// Number of engine crashes.
     pub engine_crashes: u64,
-    /// Highest power draw of the engines.
+    /// Highest power draw of the engines; with a power cut, that after the settle time.
     pub peak_watts: u64,
     /// Power budget of the site.
     pub budget_watts: u64,
@@ -83,7 +83,7 @@
 pub struct Measurements {
     /// Prompt token totals at the end of the warm-up.
     pub warm_up_totals: PromptTotals,
-    /// Bytes on the partner links of all nodes.
+    /// Bytes on the partner links of all nodes, if all of them report the count.
     pub link_bytes: Option<f64>,
     /// Effects of the faults.
     pub fault: Option<FaultReport>,
--- a/examples/local_site/run.rs
+++ b/examples/local_site/run.rs
@@ -157,19 +157,19 @@
     })
 }
 
-/// Prints progress until all calls have ended or their time is over.
+/// Prints progress until all calls have ended, or until [`END_TIMEOUT`] after the last arrival.
 fn wait_until_ended(run: &Run, policy: PolicyChoice) {
     let total = run.workload.arrivals.len();
     let deadline = run.started_at + run.workload.duration() + END_TIMEOUT;
-    let mut next_line = Instant::now() + PROGRESS_PERIOD;
+    let mut next_line_at = Instant::now() + PROGRESS_PERIOD;
     loop {
         let ending_counts = run.outcomes.ending_counts();
         let ended: usize = ending_counts.values().sum();
         if ended >= total || Instant::now() > deadline {
             return;
         }
-        if Instant::now() >= next_line {
-            next_line += PROGRESS_PERIOD;
+        if Instant::now() >= next_line_at {
+            next_line_at += PROGRESS_PERIOD;
             let count = |ending| ending_counts.get(&ending).copied().unwrap_or(0);
             println!(
                 "{policy}: {:.0} s, sent {}/{total}, answered {}, not run {}, unknown {}, wrong {}, {} W",
--- a/examples/support/fleet.rs
+++ b/examples/support/fleet.rs
@@ -49,7 +49,8 @@
 }
 
 impl FleetState {
-    /// Returns a state with a load report of each server and a request sent for each prefix.
+    /// Returns a state with a load report of each server, and with requests sent so that each
+    /// prefix is cached on [`SERVERS_PER_PREFIX`] servers.
     pub fn new(policy: RoutingPolicy, size: FleetSize) -> Self {
         let state = RoutingState::new(policy, "zone-0".into(), RoutingConfig::default());
         let mut fleet = Self { state, now: Instant::now() };
@@ -78,7 +79,7 @@
     }
 }
 
-/// Returns a route query whose prefixes are known to the state.
+/// Returns a route query whose prefixes are known to a state with more than `number` prefixes.
 pub fn route_query(number: usize) -> RouteQuery {
     let number = number - number % LEVELS_PER_REQUEST;
     RouteQuery {
@@ -90,7 +91,7 @@
     }
 }
 
-/// Returns the ID of a server.
+/// Returns the ID of server `number`, modulo the size of the target fleet.
 pub fn server_id(number: usize) -> ServerId {
     format_smolstr!("server-{:03}", number % SERVERS)
 }
@@ -110,7 +111,7 @@
         .collect()
 }
 
-/// Returns a load report of a server.
+/// Returns a load report of server `number`, with one loaded model.
 pub fn load_report(number: usize) -> LoadReport {
     LoadReport {
         incarnation: 1,
