--- a/tests/relay/fixture.rs
+++ b/tests/relay/fixture.rs
@@ -12,6 +12,7 @@
 pub static SERVICE: SmolStr = SmolStr::new_static("models");
 pub const MODEL: SmolStr = SmolStr::new_static("m");
 pub const ZONES: [&str; 3] = ["north", "centre", "south"];
+/// Bytes of KV cache per token.
 const TOKEN_BYTES: u64 = 192_512;
 
 pub fn ms(millis: u64) -> Duration {
--- a/tests/routing/fixture.rs
+++ b/tests/routing/fixture.rs
@@ -57,7 +57,7 @@
     Arc::new(Document::try_from(raw).unwrap())
 }
 
-/// Returns the levels of a request about `manual`.
+/// Returns the prefix levels of a request about `manual`.
 pub fn levels(workspace: &str, version: &str, manual: &str, question: &str) -> Vec<PrefixLevel> {
     let scope = PrefixScope {
         workspace: &workspace.into(),
@@ -72,7 +72,7 @@
     prompt_levels(scope, &body)
 }
 
-/// Returns the query of a request with `levels`.
+/// Returns the route query of a request with the prefix levels `levels`.
 pub fn query(request: &str, levels: &[PrefixLevel]) -> RouteQuery {
     RouteQuery {
         request: request.into(),
--- a/tests/whole_path/site.rs
+++ b/tests/whole_path/site.rs
@@ -120,7 +120,7 @@
         .unwrap()
     }
 
-    /// Returns the engine that runs a request now, waiting until one does.
+    /// Waits until an engine runs a request, and returns it.
     pub fn busy_engine(&self) -> &EngineStandIn {
         let deadline = Instant::now() + WAIT_TIMEOUT;
         loop {
