--- a/tests/routing/fixture.rs
+++ b/tests/routing/fixture.rs
@@ -58,11 +58,16 @@
 }
 
 /// Returns the prefix levels of a request about `manual`.
-pub fn levels(workspace: &str, version: &str, manual: &str, question: &str) -> Vec<PrefixLevel> {
+pub fn levels(
+    workspace: &str,
+    weights_version: &str,
+    manual: &str,
+    question: &str,
+) -> Vec<PrefixLevel> {
     let scope = PrefixScope {
         workspace: &workspace.into(),
         model: &ModelId::new_static(MODEL),
-        weights_version: &version.into(),
+        weights_version: &weights_version.into(),
     };
     let body = json!({"messages": [
         {"role": "system", "content": "company rules ".repeat(80)},
@@ -157,17 +162,18 @@
         }));
     }
 
-    /// Applies an answer whose first token was received `first_token` after the request was sent.
+    /// Applies an answer whose first token was received `time_to_first_token` after the request was
+    /// sent.
     pub fn answer(
         &mut self,
         server: &ServerId,
         incarnation: u64,
         levels: &[PrefixLevel],
         cached_tokens: u32,
-        first_token: Duration,
+        time_to_first_token: Duration,
     ) {
         let timing = AnswerTiming {
-            sent_at: self.now - first_token,
+            sent_at: self.now - time_to_first_token,
             first_token_at: self.now,
             ended_at: self.now,
             expectation: Expectation::default(),
