--- a/tests/routing/fixture.rs
+++ b/tests/routing/fixture.rs
@@ -17,7 +17,7 @@
 pub const MODEL: &str = "manuals";
 
 /// Returns the configuration of a property test with a fixed seed.
-pub fn property_config(seed: u64) -> Config {
+pub fn proptest_config(seed: u64) -> Config {
     let cases = std::env::var("COT_PROPTEST_CASES").ok().and_then(|text| text.parse().ok());
     Config {
         cases: cases.unwrap_or(256),
@@ -57,12 +57,17 @@
     Arc::new(Document::try_from(raw).unwrap())
 }
 
-/// Returns the levels of a request about `manual`.
-pub fn levels(workspace: &str, version: &str, manual: &str, question: &str) -> Vec<PrefixLevel> {
+/// Returns the prefix levels of a request about `manual`.
+pub fn levels(
+    workspace: &str,
+    weights_version: &str,
+    manual: &str,
+    question: &str,
+) -> Vec<PrefixLevel> {
     let scope = PrefixScope {
         workspace: &workspace.into(),
         model: &ModelId::new_static(MODEL),
-        weights_version: &version.into(),
+        weights_version: &weights_version.into(),
     };
     let body = json!({"messages": [
         {"role": "system", "content": "company rules ".repeat(80)},
@@ -72,7 +77,7 @@
     prompt_levels(scope, &body)
 }
 
-/// Returns the query of a request with `levels`.
+/// Returns the route query of a request with the prefix levels `levels`.
 pub fn query(request: &str, levels: &[PrefixLevel]) -> RouteQuery {
     RouteQuery {
         request: request.into(),
@@ -157,17 +162,18 @@
         }));
     }
 
-    /// Applies an answer whose first token was received `first_token` after the request was sent.
+    /// Applies an answer whose first token was received `time_to_first_token` after the request was
+    /// sent.
     pub fn answer(
         &mut self,
         server: &ServerId,
         incarnation: u64,
         levels: &[PrefixLevel],
         cached_tokens: u32,
-        first_token: Duration,
+        time_to_first_token: Duration,
     ) {
         let timing = AnswerTiming {
-            sent_at: self.now - first_token,
+            sent_at: self.now - time_to_first_token,
             first_token_at: self.now,
             ended_at: self.now,
             expectation: Expectation::default(),
