--- a/src/decision/relay/engine_choice.rs
+++ b/src/decision/relay/engine_choice.rs
@@ -4,7 +4,7 @@
 use super::choose::{Choice, CostedServer, PromptChoice, ServerQuery, build_choice, two_cheapest};
 use super::fleet::Fleet;
 use super::prompt::{MIN_STORED_TOKENS, PrefixKey, Prompt};
-use super::server::{Server, ServerLoad, UnreadTokens};
+use super::server::{PendingPrefill, Server, ServerLoad};
 use crate::decision::routing::homes::rendezvous_hash;
 use crate::types::{ServerId, WeightsRevision};
 use smol_str::{SmolStr, format_smolstr};
@@ -118,8 +118,8 @@
         let (plan, expected_ms) = plans.swap_remove(position);
         let load = ServerLoad {
             requests: 1,
-            long_runs: u32::from(prompt.is_decode_heavy()),
-            unread_tokens: UnreadTokens::new(query.priority, plan.prefill_tokens),
+            decode_heavy_requests: u32::from(prompt.is_decode_heavy()),
+            pending_prefill: PendingPrefill::new(query.priority, plan.prefill_tokens),
             memory_tokens: u64::from(prompt.unshared_tokens() + prompt.expected_output_tokens()),
         };
         build_choice(best, expected_ms, runner_up, Some(plan.choice), load)
@@ -335,7 +335,7 @@
     priority: u8,
     now: Instant,
 ) -> f64 {
-    let ahead = f64::from(load.unread_tokens.ahead_of(priority)) + server.unreported_tokens(now);
+    let ahead = f64::from(load.pending_prefill.ahead_of(priority)) + server.unreported_tokens(now);
     let mut expected_ms = (ahead + f64::from(plan.prefill_tokens)) / PREFILL_TOKENS_PER_MS;
     expected_ms += slot_wait_ms(server, load);
     if plan.fetched_tokens > 0 {
--- a/src/decision/relay/fleet.rs
+++ b/src/decision/relay/fleet.rs
@@ -4,7 +4,7 @@
 use super::decode_rate::DecodeRate;
 use super::health::SilenceChange;
 use super::prefix_index::PrefixIndex;
-use super::server::{Server, ServerEntry, ServerLoad, ServerUpdate, UnreadTokens};
+use super::server::{PendingPrefill, Server, ServerEntry, ServerLoad, ServerUpdate};
 use super::store_link::StoreLink;
 use crate::types::{AvailabilityZone, InstanceId, ModelId, ServerId, ServiceId, WeightsRevision};
 use std::collections::BTreeMap;
@@ -234,9 +234,9 @@
     }
 
     /// Records the first answer to a request: the server has prefilled its prompt.
-    pub fn finish_prefill(&mut self, id: &ServerId, attempt: u64, unread: UnreadTokens) {
+    pub fn finish_prefill(&mut self, id: &ServerId, attempt: u64, pending: PendingPrefill) {
         if let Some(server) = self.servers.get_mut(id) {
-            server.local_load.unread_tokens.subtract(unread);
+            server.local_load.pending_prefill.subtract(pending);
             server.health.clear_unanswered(attempt);
         }
     }
--- a/src/decision/relay/health.rs
+++ b/src/decision/relay/health.rs
@@ -67,7 +67,8 @@
     /// The server has unanswered requests and no recent contact.
     Silent,
     /// The server was in contact again after it had been silent.
-    Heard,
+    #[strum(serialize = "heard")]
+    Contact,
 }
 
 /// Health of a server, as one node estimates it.
@@ -162,7 +163,7 @@
         if self.silent_at.is_some_and(|silent_at| last_contact_at > Some(silent_at)) {
             self.silent_at = None;
             self.failure_rate = 0.0;
-            return Some(SilenceChange::Heard);
+            return Some(SilenceChange::Contact);
         }
         None
     }
--- a/src/decision/relay/load_exchange.rs
+++ b/src/decision/relay/load_exchange.rs
@@ -40,9 +40,11 @@
     /// Prefixes saved to the external store of KV cache, new since the last message.
     pub stored: Vec<PrefixKey>,
     /// Prefixes with the servers that have them cached, new since the last message.
-    pub held: Vec<CachedPrefix>,
+    #[serde(rename = "held")]
+    pub cached: Vec<CachedPrefix>,
     /// Output tokens per second of the decode-heavy requests that these nodes sent.
-    pub long_tokens_per_s: u32,
+    #[serde(rename = "long_tokens_per_s")]
+    pub decode_tokens_per_s: u32,
 }
 
 /// Why a received load is ignored.
@@ -155,7 +157,7 @@
         neighbour.repeat_at = Some(now + LOAD_REPEAT_PERIOD);
         neighbour.last_sent = Some((load.nodes, loads));
         load.stored = std::mem::take(&mut neighbour.stored);
-        load.held = std::mem::take(&mut neighbour.cached);
+        load.cached = std::mem::take(&mut neighbour.cached);
         Some(load)
     }
 
@@ -179,12 +181,12 @@
         }
         neighbour.nodes = load.nodes;
         if self.is_tree {
-            self.queue_prefixes(Some(peer), &load.stored, &load.held);
+            self.queue_prefixes(Some(peer), &load.stored, &load.cached);
         }
-        fleet.decode_rate.set_partner_rate(peer.clone(), f64::from(load.long_tokens_per_s), now);
+        fleet.decode_rate.set_partner_rate(peer.clone(), f64::from(load.decode_tokens_per_s), now);
         let changes = fleet.apply_updates(peer, &load.servers, now);
         fleet.prefixes.add_stored_by_partner(&load.stored, now);
-        fleet.prefixes.add_cached_by_partner(&load.held, now);
+        fleet.prefixes.add_cached_by_partner(&load.cached, now);
         Ok(changes)
     }
 
@@ -192,20 +194,20 @@
     /// otherwise that of this node alone.
     fn load_without(&self, peer: &InstanceId, fleet: &Fleet, now: Instant) -> RelayLoad {
         if !self.is_tree {
-            let long_tokens_per_s = fleet.decode_rate.local_tokens_per_s(now).round() as u32;
+            let decode_tokens_per_s = fleet.decode_rate.local_tokens_per_s(now).round() as u32;
             return RelayLoad {
                 nodes: 1,
                 servers: fleet.local_updates(now),
-                long_tokens_per_s,
+                decode_tokens_per_s,
                 ..RelayLoad::default()
             };
         }
         let others = self.neighbours.iter().filter(|(other, _)| *other != peer);
         let nodes = 1 + others.map(|(_, other)| other.nodes).sum::<u32>();
-        let long_tokens_per_s =
+        let decode_tokens_per_s =
             fleet.decode_rate.tokens_per_s_without(Some(peer), now).round() as u32;
         let servers = fleet.updates_without(peer, now);
-        RelayLoad { nodes, servers, long_tokens_per_s, ..RelayLoad::default() }
+        RelayLoad { nodes, servers, decode_tokens_per_s, ..RelayLoad::default() }
     }
 
     /// Queues prefixes for all neighbours except `source`, which sent them.
--- a/src/decision/relay/server.rs
+++ b/src/decision/relay/server.rs
@@ -62,9 +62,9 @@
 
 /// Prompt tokens not prefilled yet, by request priority.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
-pub struct UnreadTokens([u32; PRIORITY_LEVELS]);
+pub struct PendingPrefill([u32; PRIORITY_LEVELS]);
 
-impl UnreadTokens {
+impl PendingPrefill {
     /// Returns the tokens of one request.
     pub fn new(priority: u8, tokens: u32) -> Self {
         let mut all = [0; PRIORITY_LEVELS];
@@ -95,7 +95,7 @@
 
 /// Wire form of a [`ServerLoad`], without field names: requests, decode-heavy requests, prompt
 /// tokens not prefilled yet, memory tokens.
-type PackedLoad = (u32, u32, UnreadTokens, u64);
+type PackedLoad = (u32, u32, PendingPrefill, u64);
 
 /// Load of a server.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
@@ -104,37 +104,38 @@
     /// Requests that have not ended.
     pub requests: u32,
     /// Decode-heavy requests among them.
-    pub long_runs: u32,
+    pub decode_heavy_requests: u32,
     /// Prompt tokens not prefilled yet, by request priority.
-    pub unread_tokens: UnreadTokens,
+    pub pending_prefill: PendingPrefill,
     /// Tokens that the requests occupy in the KV cache.
     pub memory_tokens: u64,
 }
 
 impl From<PackedLoad> for ServerLoad {
-    fn from((requests, long_runs, unread_tokens, memory_tokens): PackedLoad) -> Self {
-        Self { requests, long_runs, unread_tokens, memory_tokens }
+    fn from((requests, decode_heavy_requests, pending_prefill, memory_tokens): PackedLoad) -> Self {
+        Self { requests, decode_heavy_requests, pending_prefill, memory_tokens }
     }
 }
 
 impl From<ServerLoad> for PackedLoad {
     fn from(load: ServerLoad) -> Self {
-        (load.requests, load.long_runs, load.unread_tokens, load.memory_tokens)
+        (load.requests, load.decode_heavy_requests, load.pending_prefill, load.memory_tokens)
     }
 }
 
 impl ServerLoad {
     pub(super) fn add(&mut self, other: Self) {
         self.requests += other.requests;
-        self.long_runs += other.long_runs;
-        self.unread_tokens.add(other.unread_tokens);
+        self.decode_heavy_requests += other.decode_heavy_requests;
+        self.pending_prefill.add(other.pending_prefill);
         self.memory_tokens += other.memory_tokens;
     }
 
     pub(super) fn subtract(&mut self, other: Self) {
         self.requests = self.requests.saturating_sub(other.requests);
-        self.long_runs = self.long_runs.saturating_sub(other.long_runs);
-        self.unread_tokens.subtract(other.unread_tokens);
+        self.decode_heavy_requests =
+            self.decode_heavy_requests.saturating_sub(other.decode_heavy_requests);
+        self.pending_prefill.subtract(other.pending_prefill);
         self.memory_tokens = self.memory_tokens.saturating_sub(other.memory_tokens);
     }
 }
@@ -142,31 +143,31 @@
 /// Load and contact of a server, as reported by a node for itself and the nodes whose loads it
 /// forwards.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
-#[serde(from = "PackedNews", into = "PackedNews")]
+#[serde(from = "PackedUpdate", into = "PackedUpdate")]
 pub struct ServerUpdate {
     /// Id of the server.
     pub server: ServerId,
     /// Requests at the server.
     pub load: ServerLoad,
     /// Milliseconds since the last contact, `None` if there was none.
-    pub heard_ms: Option<u32>,
+    pub since_contact_ms: Option<u32>,
     /// Milliseconds for which the oldest unanswered request has waited, `None` if there is none.
-    pub awaited_ms: Option<u32>,
+    pub unanswered_ms: Option<u32>,
 }
 
 /// Wire form of a [`ServerUpdate`], without field names: server, load, milliseconds since the last
 /// contact, milliseconds for which the oldest unanswered request has waited.
-type PackedNews = (ServerId, ServerLoad, Option<u32>, Option<u32>);
+type PackedUpdate = (ServerId, ServerLoad, Option<u32>, Option<u32>);
 
-impl From<PackedNews> for ServerUpdate {
-    fn from((server, load, heard_ms, awaited_ms): PackedNews) -> Self {
-        Self { server, load, heard_ms, awaited_ms }
+impl From<PackedUpdate> for ServerUpdate {
+    fn from((server, load, since_contact_ms, unanswered_ms): PackedUpdate) -> Self {
+        Self { server, load, since_contact_ms, unanswered_ms }
     }
 }
 
-impl From<ServerUpdate> for PackedNews {
+impl From<ServerUpdate> for PackedUpdate {
     fn from(update: ServerUpdate) -> Self {
-        (update.server, update.load, update.heard_ms, update.awaited_ms)
+        (update.server, update.load, update.since_contact_ms, update.unanswered_ms)
     }
 }
 
@@ -174,8 +175,8 @@
     fn contact(&self, now: Instant) -> ServerContact {
         let since = |age_ms: u32| now.checked_sub(Duration::from_millis(age_ms.into()));
         ServerContact {
-            last_contact_at: self.heard_ms.and_then(since),
-            unanswered_since: self.awaited_ms.and_then(since),
+            last_contact_at: self.since_contact_ms.and_then(since),
+            unanswered_since: self.unanswered_ms.and_then(since),
         }
     }
 }
@@ -342,8 +343,8 @@
         ServerUpdate {
             server: self.entry.id.clone(),
             load,
-            heard_ms: contact.last_contact_at.map(age_ms),
-            awaited_ms: contact.unanswered_since.map(age_ms),
+            since_contact_ms: contact.last_contact_at.map(age_ms),
+            unanswered_ms: contact.unanswered_since.map(age_ms),
         }
     }
 
@@ -371,7 +372,7 @@
     /// Adds the load of a request that this node sends.
     pub fn add_local_load(&mut self, load: ServerLoad, now: Instant) {
         self.local_load.add(load);
-        let tokens = load.unread_tokens.ahead_of(u8::MAX);
+        let tokens = load.pending_prefill.ahead_of(u8::MAX);
         self.recent_prompt_tokens = self.decayed_recent_tokens(now) + f64::from(tokens);
         self.recent_updated_at = Some(now);
     }
--- a/src/relay/attempt.rs
+++ b/src/relay/attempt.rs
@@ -4,7 +4,7 @@
 use super::control::RelayControlEvent;
 use super::request::RelayedRequest;
 use crate::adapters::connection_pool::PooledExchange;
-use crate::decision::relay::server::{ServerLoad, UnreadTokens};
+use crate::decision::relay::server::{PendingPrefill, ServerLoad};
 use crate::decision::relay::{Choice, Prompt};
 use crate::metrics::labels::ReasonLabels;
 use crate::ports::{AnswerHead, ForwardHead};
@@ -109,8 +109,8 @@
         }
         if !self.is_prefilled {
             self.is_prefilled = true;
-            fleet.finish_prefill(&self.server, self.attempt, self.load.unread_tokens);
-            self.load.unread_tokens = UnreadTokens::default();
+            fleet.finish_prefill(&self.server, self.attempt, self.load.pending_prefill);
+            self.load.pending_prefill = PendingPrefill::default();
         }
     }
 
--- a/tests/relay/choose.rs
+++ b/tests/relay/choose.rs
@@ -60,7 +60,7 @@
     let preferred = choose(&fleet, &prompt, now);
     let keys = &preferred.prompt.as_ref().unwrap().keys;
     fleet.prefixes.add_cached(keys, &preferred.server, true, now);
-    set_partner_unread_tokens(&mut fleet, &preferred.server, 20_000, now);
+    set_partner_pending_prefill(&mut fleet, &preferred.server, 20_000, now);
     let spill = choose(&fleet, &prompt, now);
     assert_ne!(spill.server, preferred.server);
     let spill = spill.prompt.unwrap();
@@ -79,7 +79,7 @@
         true,
         now,
     );
-    set_partner_unread_tokens(&mut fleet, &preferred.server, 2_000, now);
+    set_partner_pending_prefill(&mut fleet, &preferred.server, 2_000, now);
     assert_eq!(choose(&fleet, &prompt, now).server, preferred.server);
 }
 
@@ -274,7 +274,7 @@
         if choice.expected_ms < 340.0 {
             nodes[index].begin_request(&choice.server, step, choice.load, now);
             if choice.server == "s0" {
-                sent_tokens += choice.load.unread_tokens.ahead_of(9);
+                sent_tokens += choice.load.pending_prefill.ahead_of(9);
             }
         }
         if step == 0 {
@@ -286,8 +286,12 @@
 }
 
 fn load_of(tokens: u32) -> coriandertide::decision::relay::server::ServerLoad {
-    use coriandertide::decision::relay::server::{ServerLoad, UnreadTokens};
-    ServerLoad { requests: 1, unread_tokens: UnreadTokens::new(1, tokens), ..ServerLoad::default() }
+    use coriandertide::decision::relay::server::{PendingPrefill, ServerLoad};
+    ServerLoad {
+        requests: 1,
+        pending_prefill: PendingPrefill::new(1, tokens),
+        ..ServerLoad::default()
+    }
 }
 
 fn exchange_loads(nodes: &mut [coriandertide::decision::relay::Fleet], now: Instant) {
@@ -361,8 +365,8 @@
     let prompt = long_prompt(7, 7);
     let preferred = choose(&fleet, &prompt, now).server;
     let load = ServerLoad { requests: 1, ..ServerLoad::default() };
-    let (heard_ms, awaited_ms) = (Some(900), Some(700));
-    let update = ServerUpdate { server: preferred.clone(), load, heard_ms, awaited_ms };
+    let (since_contact_ms, unanswered_ms) = (Some(900), Some(700));
+    let update = ServerUpdate { server: preferred.clone(), load, since_contact_ms, unanswered_ms };
     fleet.apply_updates(&"partner".into(), &[update], now);
     assert!(fleet.server(&preferred).unwrap().suspended_until(now).is_some());
     assert_ne!(choose(&fleet, &prompt, now).server, preferred);
@@ -380,7 +384,7 @@
     let (holder, holder_address) = (holder.entry.id.clone(), holder.entry.address);
     fleet.prefixes.add_stored(&keys, now);
     fleet.prefixes.add_cached_by_partner(&[(*keys.last().unwrap(), holder.clone())], now);
-    set_partner_unread_tokens(&mut fleet, &holder, 40_000, now);
+    set_partner_pending_prefill(&mut fleet, &holder, 40_000, now);
     let fetched = |at| choose(&fleet, &prompt, at).prompt.unwrap().fetch_from;
     assert_eq!(fetched(now + ms(1_000)), Some(holder_address));
     assert_eq!(fetched(now + ms(3_000)), Some(SocketAddr::from(([127, 0, 0, 1], 9))));
--- a/tests/relay/fixture.rs
+++ b/tests/relay/fixture.rs
@@ -96,9 +96,9 @@
 
 /// Sets the load that a partner reports for a server: one request with `tokens` prompt tokens that
 /// have not been prefilled yet.
-pub fn set_partner_unread_tokens(fleet: &mut Fleet, server: &SmolStr, tokens: u32, now: Instant) {
-    let unread_tokens = coriandertide::decision::relay::server::UnreadTokens::new(1, tokens);
-    let load = ServerLoad { requests: 1, unread_tokens, ..ServerLoad::default() };
+pub fn set_partner_pending_prefill(fleet: &mut Fleet, server: &SmolStr, tokens: u32, now: Instant) {
+    let pending_prefill = coriandertide::decision::relay::server::PendingPrefill::new(1, tokens);
+    let load = ServerLoad { requests: 1, pending_prefill, ..ServerLoad::default() };
     let update = ServerUpdate { server: server.clone(), load, ..ServerUpdate::default() };
     fleet.apply_updates(&"partner".into(), &[update], now);
 }
--- a/tests/relay/health.rs
+++ b/tests/relay/health.rs
@@ -87,6 +87,6 @@
     assert!(health.cost_ms(now + ms(1_000)) > 400.0);
     let recovered =
         ServerContact { last_contact_at: Some(now + ms(1_100)), unanswered_since: None };
-    assert_eq!(health.update_silence(recovered, now + ms(1_200)), Some(SilenceChange::Heard));
+    assert_eq!(health.update_silence(recovered, now + ms(1_200)), Some(SilenceChange::Contact));
     assert_eq!(health.cost_ms(now + ms(1_200)), 0.0);
 }
