--- a/src/cli/trace.rs
+++ b/src/cli/trace.rs
@@ -56,7 +56,7 @@
     let mut text = String::new();
     for LogLine { source, unix_ms, event } in trace {
         writeln!(text, "{:>+8} ms  {source:<28} {event}", unix_ms - first_ms)
-            .expect("writing to a String succeeds");
+            .expect("writing to a String cannot fail");
     }
     Ok(text)
 }
--- a/src/decision/claims/record.rs
+++ b/src/decision/claims/record.rs
@@ -88,8 +88,8 @@
 pub fn encode_record(entries: &[ClaimEntry]) -> Bytes {
     let head = RecordHead { marker: RECORD_MARKER.to_owned(), version: RECORD_VERSION };
     let mut payload = Vec::new();
-    ciborium::into_writer(&head, &mut payload).expect("writing to a Vec does not fail");
-    ciborium::into_writer(entries, &mut payload).expect("writing to a Vec does not fail");
+    ciborium::into_writer(&head, &mut payload).expect("writing to a Vec cannot fail");
+    ciborium::into_writer(entries, &mut payload).expect("writing to a Vec cannot fail");
     payload.into()
 }
 
