--- a/tests/power/leases.rs
+++ b/tests/power/leases.rs
@@ -1,7 +1,8 @@
 //! Property test of leases: despite pauses, restarts, log outages and drifting clocks, a lease must
 //! not have two holders, and no order of an earlier holder may apply after one of a later holder.
 
-use crate::world::{Clock, FakeLog, config};
+use crate::proptest_config;
+use crate::world::{Clock, FakeLog};
 use coriandertide::decision::leases::{
     LeaseCommand, LeaseEvent, LeaseKind, LeaseSettings, LeaseState,
 };
@@ -199,7 +200,7 @@
 }
 
 proptest! {
-    #![proptest_config(config(51))]
+    #![proptest_config(proptest_config(51))]
 
     #[test]
     fn at_most_one_holder_and_orders_in_fencing_order(
--- a/tests/power/main.rs
+++ b/tests/power/main.rs
@@ -6,5 +6,9 @@
 mod placement;
 mod power;
 mod power_account;
+#[path = "../common/proptest_config.rs"]
+mod proptest_config;
 mod transfers;
 mod world;
+
+use proptest_config::proptest_config;
--- a/tests/power/placement.rs
+++ b/tests/power/placement.rs
@@ -1,6 +1,6 @@
 //! Placement against fake engines whose concurrent loads slow each other down.
 
-use crate::world::config;
+use crate::proptest_config;
 use coriandertide::decision::leases::HeldLease;
 use coriandertide::decision::placement::{
     PlacementCommand, PlacementEvent, PlacementSettings, PlacementState,
@@ -203,7 +203,7 @@
 }
 
 proptest! {
-    #![proptest_config(config(53))]
+    #![proptest_config(proptest_config(53))]
 
     /// Every model reaches its minimum number of servers, at most two servers load at once, a model
     /// with two servers always keeps one while its weights change, and a settled site gets no
--- a/tests/power/power.rs
+++ b/tests/power/power.rs
@@ -1,6 +1,7 @@
 //! Power: the draw of the whole simulated site stays within its budget.
 
-use crate::world::{Clock, FakeLog, config};
+use crate::proptest_config;
+use crate::world::{Clock, FakeLog};
 use coriandertide::decision::leases::StreamRecord;
 use coriandertide::decision::power::ledger::{ShareLedger, ShareStreamRecord};
 use coriandertide::decision::power::{
@@ -478,7 +479,7 @@
 }
 
 proptest! {
-    #![proptest_config(config(52))]
+    #![proptest_config(proptest_config(52))]
 
     #[test]
     fn draw_stays_within_the_budget(
--- a/tests/power/power_account.rs
+++ b/tests/power/power_account.rs
@@ -1,6 +1,6 @@
 //! The power account against a reference model that checks every moment.
 
-use crate::world::config;
+use crate::proptest_config;
 use coriandertide::decision::power::{
     PowerAccount, PowerAnswer, PowerRequest, PowerSource, SourceId, TOTAL_PARTS,
 };
@@ -97,7 +97,7 @@
 }
 
 proptest! {
-    #![proptest_config(config(54))]
+    #![proptest_config(proptest_config(54))]
 
     #[test]
     fn account_matches_the_reference_model(ops in prop::collection::vec(op(), 1..60)) {
--- a/tests/power/world.rs
+++ b/tests/power/world.rs
@@ -2,23 +2,11 @@
 
 use bytes::Bytes;
 use coriandertide::ports::{LogPage, LogRecord};
-use proptest::test_runner::{Config, RngSeed};
 use std::time::{Duration, Instant, SystemTime};
 
 /// Maximum number of records in a page; small, so that readers lag behind.
 const MAX_PAGE_RECORDS: usize = 16;
 
-/// Returns the configuration of a property test; `COT_PROPTEST_CASES` sets the number of cases.
-pub fn config(seed: u64) -> Config {
-    let cases = std::env::var("COT_PROPTEST_CASES").ok().and_then(|cases| cases.parse().ok());
-    Config {
-        cases: cases.unwrap_or(256),
-        rng_seed: RngSeed::Fixed(seed),
-        failure_persistence: None,
-        ..Config::default()
-    }
-}
-
 /// Clock of a process that runs faster or slower than true time.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
--- a/tests/relay/choose.rs
+++ b/tests/relay/choose.rs
@@ -203,13 +203,7 @@
         plain.slots = 6;
         fleet.set_entry(plain);
     }
-    let query = ServerQuery {
-        service: &SERVICE,
-        prompt: None,
-        isolated_workspace: None,
-        priority: 2,
-        tried: &[],
-    };
+    let query = plain_query();
     let mut attempts = 0;
     let mut counts: BTreeMap<_, u32> = BTreeMap::new();
     while let Ok(choice) = fleet.choose(query, now) {
@@ -225,13 +219,7 @@
 fn failing_servers_are_avoided_and_tried_again_later() {
     let now = Instant::now();
     let mut fleet = fleet(3, 1);
-    let query = ServerQuery {
-        service: &SERVICE,
-        prompt: None,
-        isolated_workspace: None,
-        priority: 2,
-        tried: &[],
-    };
+    let query = plain_query();
     let preferred = fleet.choose(query, now).unwrap().server;
     for _ in 0..5 {
         fleet.server_mut(&preferred).unwrap().health.record_outcome(false, 0.0, now);
--- a/tests/relay/fixture.rs
+++ b/tests/relay/fixture.rs
@@ -90,6 +90,17 @@
     }
 }
 
+/// Query for a plain call, without a prompt.
+pub fn plain_query() -> ServerQuery<'static> {
+    ServerQuery {
+        service: &SERVICE,
+        prompt: None,
+        isolated_workspace: None,
+        priority: 2,
+        tried: &[],
+    }
+}
+
 pub fn choose(fleet: &Fleet, prompt: &Prompt, now: Instant) -> Choice {
     fleet.choose(query(prompt), now).unwrap()
 }
--- a/tests/relay/main.rs
+++ b/tests/relay/main.rs
@@ -13,7 +13,7 @@
 mod logging;
 mod notices;
 mod prefix_index;
-#[path = "../shared/proptest_config.rs"]
+#[path = "../common/proptest_config.rs"]
 mod proptest_config;
 mod read_schedule;
 mod replica;
--- a/tests/routing/fixture.rs
+++ b/tests/routing/fixture.rs
@@ -7,7 +7,6 @@
 use coriandertide::document::Document;
 use coriandertide::ports::{LoadReport, LoadedModel};
 use coriandertide::types::{ModelId, ServerId};
-use proptest::test_runner::{Config, RngSeed};
 use serde_json::json;
 use smol_str::format_smolstr;
 use std::sync::Arc;
@@ -16,17 +15,6 @@
 /// Model of the tests.
 pub const MODEL: &str = "manuals";
 
-/// Returns the configuration of a property test with a fixed seed.
-pub fn proptest_config(seed: u64) -> Config {
-    let cases = std::env::var("COT_PROPTEST_CASES").ok().and_then(|text| text.parse().ok());
-    Config {
-        cases: cases.unwrap_or(256),
-        rng_seed: RngSeed::Fixed(seed),
-        failure_persistence: None,
-        ..Config::default()
-    }
-}
-
 /// Returns the name of a server.
 pub fn server(number: usize) -> ServerId {
     format_smolstr!("server-{number:03}")
--- a/tests/routing/homes.rs
+++ b/tests/routing/homes.rs
@@ -1,7 +1,8 @@
 //! Homes of a prefix against a full sort, and the number of homes under load.
 
-use crate::fixture::{Node, levels, proptest_config, server};
+use crate::fixture::{Node, levels, server};
 use crate::naive::naive_homes;
+use crate::proptest_config;
 use coriandertide::decision::routing::homes::{HomeCountInputs, PrefixRate, ranked_servers};
 use coriandertide::decision::routing::{RoutingConfig, RoutingEvent};
 use proptest::prelude::*;
--- a/tests/routing/main.rs
+++ b/tests/routing/main.rs
@@ -9,3 +9,7 @@
 mod poll;
 mod prefix;
 mod prefix_index;
+#[path = "../common/proptest_config.rs"]
+mod proptest_config;
+
+use proptest_config::proptest_config;
--- a/tests/routing/poll.rs
+++ b/tests/routing/poll.rs
@@ -1,6 +1,7 @@
 //! Poll planning within the byte budget, in virtual time.
 
-use crate::fixture::{proptest_config, server};
+use crate::fixture::server;
+use crate::proptest_config;
 use coriandertide::decision::routing::{PollConfig, PollKind, PollPlanner};
 use proptest::prelude::*;
 use std::time::{Duration, Instant};
--- a/tests/routing/prefix.rs
+++ b/tests/routing/prefix.rs
@@ -1,6 +1,7 @@
 //! Levels, keys and anchors of prompts.
 
-use crate::fixture::{MODEL, levels, proptest_config};
+use crate::fixture::{MODEL, levels};
+use crate::proptest_config;
 use coriandertide::decision::routing::{PrefixLevel, PrefixScope, prompt_levels};
 use proptest::prelude::*;
 use serde_json::{Value, json};
--- a/tests/routing/prefix_index.rs
+++ b/tests/routing/prefix_index.rs
@@ -1,7 +1,8 @@
 //! The prefix index against a naive reference index, and its maximum size.
 
-use crate::fixture::{Node, document, idle_report, levels, proptest_config, server};
+use crate::fixture::{Node, document, idle_report, levels, server};
 use crate::naive::NaiveIndex;
+use crate::proptest_config;
 use coriandertide::decision::routing::{
     PrefixLevel, RoutingConfig, RoutingEvent, RoutingPolicy, RoutingState, SentRequest,
 };
--- a/tests/together/main.rs
+++ b/tests/together/main.rs
@@ -9,7 +9,7 @@
 mod links;
 mod membership;
 mod network;
-#[path = "../shared/proptest_config.rs"]
+#[path = "../common/proptest_config.rs"]
 mod proptest_config;
 
 use proptest_config::proptest_config;
--- a/tests/traffic/main.rs
+++ b/tests/traffic/main.rs
@@ -8,7 +8,7 @@
 mod frames;
 mod naive_queue;
 mod poison;
-#[path = "../shared/proptest_config.rs"]
+#[path = "../common/proptest_config.rs"]
 mod proptest_config;
 mod retry;
 
