--- a/src/decision/leases/stream.rs
+++ b/src/decision/leases/stream.rs
@@ -105,8 +105,24 @@
         self.has_read_page && matches!(self.base, Base::Known)
     }
 
+    /// Returns the reset, or the checkpoint of `entries`, to append if one is due, and schedules the
+    /// next one.
+    pub fn take_due_maintenance<E>(
+        &mut self,
+        entries: impl Iterator<Item = E>,
+        now: Instant,
+    ) -> Option<StreamRecord<R, E>> {
+        if self.take_reset_due(now) {
+            return Some(StreamRecord::Reset);
+        }
+        self.take_checkpoint_due(now).then(|| StreamRecord::Checkpoint {
+            as_of: self.next_offset - 1,
+            entries: entries.collect(),
+        })
+    }
+
     /// Returns true if a checkpoint should be appended now, and schedules the next one.
-    pub fn take_checkpoint_due(&mut self, now: Instant) -> bool {
+    fn take_checkpoint_due(&mut self, now: Instant) -> bool {
         let is_due = self.is_current() && self.checkpoint_at.is_some_and(|at| now >= at);
         if is_due {
             self.postpone_checkpoint(now);
@@ -115,7 +131,7 @@
     }
 
     /// Returns true if a reset should be appended now, and schedules the next one.
-    pub fn take_reset_due(&mut self, now: Instant) -> bool {
+    fn take_reset_due(&mut self, now: Instant) -> bool {
         let is_due = !self.is_current() && self.reset_at.is_some_and(|at| now >= at);
         if is_due {
             self.postpone_reset(now);
--- a/src/decision/power/ledger.rs
+++ b/src/decision/power/ledger.rs
@@ -96,13 +96,8 @@
 
     /// Returns a checkpoint or reset to append if one is due, and schedules the next one.
     pub fn take_due_maintenance(&mut self, now: Instant) -> Option<ShareStreamRecord> {
-        if self.reader.take_reset_due(now) {
-            return Some(StreamRecord::Reset);
-        }
-        self.reader.take_checkpoint_due(now).then(|| StreamRecord::Checkpoint {
-            as_of: self.next_offset() - 1,
-            entries: self.entries.values().map(|timed| timed.entry.clone()).collect(),
-        })
+        let entries = self.entries.values().map(|timed| timed.entry.clone());
+        self.reader.take_due_maintenance(entries, now)
     }
 
     /// Folds a page that was requested from `from_offset`; returns its share records.
